--- a/crates/quarantine/src/crash_book.rs
+++ b/crates/quarantine/src/crash_book.rs
@@ -1,4 +1,4 @@
-//! The crashes that a leader knows of, by request.
+//! Crashes known to a leader, by request.
 
 use std::time::Duration;
 
@@ -9,40 +9,42 @@
 use super::{FATAL_CRASHES, QuarantineRecord, SUSPECT_CRASHES};
 
 /// Time for which a crash counts.
-pub(super) const EVIDENCE_LASTS: Duration = Duration::from_secs(600);
+pub(super) const EVIDENCE_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Time between two crashes that count as two whenever their runs began. A rack that loses power takes many
-/// endpoints at once, and a popular request runs on several of them.
-const CRASHES_APART: Duration = Duration::from_millis(250);
+/// Crashes at least this far apart count separately, regardless of when their runs began. A rack
+/// that loses power takes down many endpoints at once, and a popular request may run on several of
+/// them.
+const MIN_CRASH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How much later than it began a run may seem to have begun: ages are told in whole milliseconds.
-const BEGIN_SLACK: Duration = Duration::from_millis(3);
+/// Tolerance for the start of a run: ages are reported in whole milliseconds.
+const START_TOLERANCE: Duration = Duration::from_millis(3);
 
-/// Requests that are kept. One crash brings up to a batch of them, most of which never come again.
+/// Maximum number of requests that are kept. One crash adds up to a whole batch of them, most of
+/// which never recur.
 const MAX_PRINTS: usize = 2_048;
 
-/// Crashes that are kept of one request.
+/// Maximum number of crashes that are kept for each request.
 const MAX_CRASHES: usize = 8;
 
-/// Suspects that entries are told of.
+/// Maximum number of suspects that are sent to entries.
 const MAX_SUSPECTS: usize = 64;
 
 #[derive(Debug, Clone)]
-struct CrashSight {
+struct ReportedCrash {
     at: TimePoint,
-    /// When the run began that met the crash.
-    began: TimePoint,
+    /// Start of the run that ended in the crash.
+    started_at: TimePoint,
     endpoint: IncarnationId,
 }
 
 #[derive(Debug, Clone, Default)]
 struct PrintRecord {
-    /// Crashes since the last whole run, the oldest first; one for each endpoint.
-    crashes: Vec<CrashSight>,
+    /// Crashes since the last complete run, oldest first; at most one for each endpoint.
+    crashes: Vec<ReportedCrash>,
     whole_at: Option<TimePoint>,
     rule: String,
     team: Option<TeamName>,
-    /// Whether its quarantine is on its way into the log.
+    /// Whether the quarantine command has been proposed to the replicated log.
     proposed: bool,
 }
 
@@ -53,34 +55,35 @@
 }
 
 impl CrashBook {
-    /// Takes a run that an entry reports; tells whether it says something new.
-    pub fn take(&mut self, now: TimePoint, event: &RunEvent) -> bool {
+    /// Records a run reported by an entry; returns whether it changes anything.
+    pub fn record_run(&mut self, now: TimePoint, event: &RunEvent) -> bool {
         let age = Duration::from_millis(event.age_ms);
-        if age >= EVIDENCE_LASTS {
+        if age >= EVIDENCE_LIFETIME {
             return false;
         }
-        let at = age_point(now, age);
+        let at = time_before(now, age);
         match &event.end {
-            RunEnd::Whole => self.ran_whole(event.print, at),
+            RunEnd::Whole => self.record_whole_run(event.print, at),
             RunEnd::Crashed { endpoint, ran_ms, rule, team } => {
                 let record = self.record(event.print);
-                let began = age_point(now, age + Duration::from_millis(*ran_ms));
-                let sight = CrashSight { at, began, endpoint: endpoint.clone() };
-                let fresh = record.crashed(sight);
-                if fresh {
+                let started_at = time_before(now, age + Duration::from_millis(*ran_ms));
+                let reported = ReportedCrash { at, started_at, endpoint: endpoint.clone() };
+                let is_new = record.add_crash(reported);
+                if is_new {
                     record.rule.clone_from(rule);
                     record.team.clone_from(team);
                 }
-                fresh
+                is_new
             }
         }
     }
 
-    /// Requests to quarantine now; each is named once until [`Self::forget`] or [`Self::lost`].
+    /// Returns the requests to quarantine now. Each request is returned once, until
+    /// [`Self::forget`] or [`Self::lost`].
     pub fn take_fatal(&mut self) -> Vec<QuarantineRecord> {
         let mut fatal = Vec::new();
         for (print, record) in self.records.iter_mut() {
-            if record.proposed || record.strikes() < FATAL_CRASHES {
+            if record.proposed || record.distinct_crashes() < FATAL_CRASHES {
                 continue;
             }
             record.proposed = true;
@@ -94,32 +97,33 @@
         fatal
     }
 
-    /// The proposal to quarantine `print` was lost: it is made again.
+    /// Records that the proposal to quarantine `print` was lost, so that it is repeated.
     pub fn lost(&mut self, print: RequestPrint) {
         if let Some(record) = self.records.get_mut(&print) {
             record.proposed = false;
         }
     }
 
-    /// Counts no crash of `print` from before `now`, also where entries still tell of it.
+    /// Ignores all crashes of `print` before `now`, including those that entries still report.
     pub fn clear(&mut self, now: TimePoint, print: RequestPrint) {
-        self.ran_whole(print, age_point(now, Duration::ZERO));
+        self.record_whole_run(print, time_before(now, Duration::ZERO));
         if let Some(record) = self.records.get_mut(&print) {
             record.proposed = false;
         }
     }
 
-    /// Forgets a request: it is in quarantine.
+    /// Forgets a request because it is now in quarantine.
     pub fn forget(&mut self, print: RequestPrint) {
         self.records.remove(&print);
     }
 
-    /// Requests that may have to be quarantined, in order; those with the newest crashes where there are many.
+    /// Requests that may have to be quarantined, in ascending order. If there are too many, those
+    /// with the most recent crashes.
     pub fn suspects(&self) -> Vec<RequestPrint> {
         let mut suspects: Vec<(TimePoint, RequestPrint)> = self
             .records
             .iter()
-            .filter(|(_, record)| record.strikes() >= SUSPECT_CRASHES)
+            .filter(|(_, record)| record.distinct_crashes() >= SUSPECT_CRASHES)
             .map(|(print, record)| (record.newest(), *print))
             .collect();
         suspects.sort_unstable_by(|a, b| b.cmp(a));
@@ -129,15 +133,15 @@
         prints
     }
 
-    /// Forgets crashes that count no more; tells whether there were any.
+    /// Removes expired crashes; returns whether there were any.
     pub fn prune(&mut self, now: TimePoint) -> bool {
         let before = self.records.len();
-        let oldest = age_point(now, EVIDENCE_LASTS);
+        let oldest = time_before(now, EVIDENCE_LIFETIME);
         self.records.retain(|_, record| record.newest() > oldest);
         self.records.len() < before
     }
 
-    /// Requests that are kept.
+    /// Number of requests that are kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -147,7 +151,7 @@
         self.records.is_empty()
     }
 
-    fn ran_whole(&mut self, print: RequestPrint, at: TimePoint) -> bool {
+    fn record_whole_run(&mut self, print: RequestPrint, at: TimePoint) -> bool {
         let record = self.record(print);
         if record.whole_at.is_some_and(|whole| at <= whole) {
             return false;
@@ -165,9 +169,10 @@
         self.records.get_or_insert_with(print, PrintRecord::default)
     }
 
-    /// Drops the request with the fewest crashes, the one whose newest is oldest among them.
+    /// Removes the request with the fewest crashes; among several, the one whose last crash is
+    /// oldest.
     fn evict(&mut self) {
-        let weight = |record: &PrintRecord| (record.strikes(), record.newest());
+        let weight = |record: &PrintRecord| (record.distinct_crashes(), record.newest());
         let least = self.records.iter().min_by_key(|(_, record)| weight(record));
         if let Some(print) = least.map(|(print, _)| *print) {
             self.records.remove(&print);
@@ -175,43 +180,45 @@
     }
 }
 
-/// The moment `age` before `now`, on a clock that is ahead by as long as anything counts: a leader that has just
-/// started is told of what happened before its own clock began.
-fn age_point(now: TimePoint, age: Duration) -> TimePoint {
-    let ahead = EVIDENCE_LASTS.saturating_sub(age);
+/// The time `age` before `now`, on a clock shifted forward by the lifetime of a crash. A new leader
+/// learns of events from before its own clock began, whose times would otherwise be negative.
+fn time_before(now: TimePoint, age: Duration) -> TimePoint {
+    let ahead = EVIDENCE_LIFETIME.saturating_sub(age);
     now.after(ahead)
 }
 
 impl PrintRecord {
-    /// Takes a crash; `false` where it is known, or older than a whole run.
-    fn crashed(&mut self, sight: CrashSight) -> bool {
-        let cleared = self.whole_at.is_some_and(|whole| sight.at <= whole);
-        let known = self.crashes.iter().any(|crash| crash.endpoint == sight.endpoint);
+    /// Adds a crash; returns `false` if it is already known or older than a complete run.
+    fn add_crash(&mut self, reported: ReportedCrash) -> bool {
+        let cleared = self.whole_at.is_some_and(|whole| reported.at <= whole);
+        let known = self.crashes.iter().any(|crash| crash.endpoint == reported.endpoint);
         if cleared || known {
             return false;
         }
-        let position = self.crashes.partition_point(|crash| crash.at <= sight.at);
-        self.crashes.insert(position, sight);
+        let position = self.crashes.partition_point(|crash| crash.at <= reported.at);
+        self.crashes.insert(position, reported);
         if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
         true
     }
 
-    /// Crashes that are events of their own: far apart, or of a run that began after the one before.
-    fn strikes(&self) -> usize {
+    /// Counts the crashes with separate causes: those far apart in time, or whose run began after
+    /// the previous crash.
+    fn distinct_crashes(&self) -> usize {
         let mut counted: Option<TimePoint> = None;
-        let mut strikes = 0;
+        let mut distinct_crashes = 0;
         for crash in &self.crashes {
-            let apart = |last| {
-                crash.at.since(last) >= CRASHES_APART || crash.began.after(BEGIN_SLACK) >= last
+            let is_distinct = |last| {
+                crash.at.since(last) >= MIN_CRASH_INTERVAL
+                    || crash.started_at.after(START_TOLERANCE) >= last
             };
-            if counted.is_none_or(apart) {
+            if counted.is_none_or(is_distinct) {
                 counted = Some(crash.at);
-                strikes += 1;
+                distinct_crashes += 1;
             }
         }
-        strikes
+        distinct_crashes
     }
 
     fn newest(&self) -> TimePoint {
--- a/crates/quarantine/src/evidence_log.rs
+++ b/crates/quarantine/src/evidence_log.rs
@@ -1,4 +1,4 @@
-//! Runs that one entry keeps, so that every new leader learns of them.
+//! Log of runs that an entry keeps to report them to each new leader.
 
 use std::time::Duration;
 
@@ -6,58 +6,58 @@
 use briartray_model::message::{RunEnd, RunEvent};
 use briartray_model::names::RequestPrint;
 
-use super::crash_book::EVIDENCE_LASTS;
+use super::crash_book::EVIDENCE_LIFETIME;
 
-/// Events that are kept: about 10 KB in a report to a new leader.
+/// Maximum number of events, about 10 KB in a report to a new leader.
 const MAX_EVENTS: usize = 128;
 
-/// Time for which an event is told with each report. One report may be lost, and the next ones follow within
-/// a quarter of a second each.
-const TOLD_FOR: Duration = Duration::from_millis(1_500);
+/// Time for which an event is repeated in every report. A report may be lost; reports follow each
+/// other within a quarter of a second.
+const REPEAT_PERIOD: Duration = Duration::from_millis(1_500);
 
 #[derive(Debug, Clone)]
-struct KeptRun {
+struct LoggedRun {
     ended: TimePoint,
     print: RequestPrint,
     end: RunEnd,
 }
 
-/// Runs of the last minutes that say something about their requests, the oldest first.
+/// Recent runs that are evidence for or against their requests, oldest first.
 #[derive(Debug, Clone, Default)]
 pub struct EvidenceLog {
-    runs: Vec<KeptRun>,
-    /// Nonce of the first report to the present leader; `None` once that leader has all of them.
-    since_nonce: Option<u64>,
+    runs: Vec<LoggedRun>,
+    /// Nonce of the first report to the current leader; `None` once that leader has all events.
+    full_report_from: Option<u64>,
 }
 
 impl EvidenceLog {
-    /// Keeps a run that ended at `now`.
+    /// Records a run that ended at `now`.
     pub fn note(&mut self, now: TimePoint, print: RequestPrint, end: RunEnd) {
-        self.runs.retain(|run| now.since(run.ended) < EVIDENCE_LASTS);
+        self.runs.retain(|run| now.since(run.ended) < EVIDENCE_LIFETIME);
         if self.runs.len() == MAX_EVENTS {
             self.runs.remove(0);
         }
-        self.runs.push(KeptRun { ended: now, print, end });
+        self.runs.push(LoggedRun { ended: now, print, end });
     }
 
-    /// A conversation with another leader may begin with the report after `nonce`.
+    /// Records that the report after `nonce` may be the first one to a new leader.
     pub fn begin_leader(&mut self, nonce: u64) {
-        self.since_nonce = Some(nonce + 1);
+        self.full_report_from = Some(nonce + 1);
     }
 
-    /// A leader that a majority confirmed has the report with `nonce`.
+    /// Records that a leader confirmed by a majority has received the report with `nonce`.
     pub fn confirmed(&mut self, nonce: u64) {
-        self.since_nonce = self.since_nonce.filter(|since| nonce < *since);
+        self.full_report_from = self.full_report_from.filter(|since| nonce < *since);
     }
 
-    /// What the next report tells: everything until a new leader has it, then what is recent.
+    /// Events for the next report: all of them until a new leader has them, then only recent ones.
     pub fn told(&self, now: TimePoint) -> Vec<RunEvent> {
-        let all = self.since_nonce.is_some();
-        let due = |run: &&KeptRun| {
+        let all = self.full_report_from.is_some();
+        let due = |run: &&LoggedRun| {
             let age = now.since(run.ended);
-            age < TOLD_FOR || (all && age < EVIDENCE_LASTS)
+            age < REPEAT_PERIOD || (all && age < EVIDENCE_LIFETIME)
         };
-        let event = |run: &KeptRun| RunEvent {
+        let event = |run: &LoggedRun| RunEvent {
             print: run.print,
             age_ms: u64::try_from(now.since(run.ended).as_millis()).unwrap_or(u64::MAX),
             end: run.end.clone(),
@@ -65,7 +65,8 @@
         self.runs.iter().filter(due).map(event).collect()
     }
 
-    /// Forgets the runs of a request whose quarantine was lifted: a later leader would quarantine it again.
+    /// Removes the runs of a request whose quarantine was lifted. A later leader would otherwise
+    /// quarantine it again.
     pub fn forget(&mut self, print: RequestPrint) {
         self.runs.retain(|run| run.print != print);
     }
--- a/crates/quarantine/src/print_guard.rs
+++ b/crates/quarantine/src/print_guard.rs
@@ -1,27 +1,28 @@
-//! What an entry knows of the quarantine.
+//! The quarantine as known to an entry.
 
 use briartray_model::message::{PrintView, ViewVersion};
 use briartray_model::names::RequestPrint;
 
-/// How a request stands.
+/// Status of a request with regard to the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrintStanding {
-    /// Nothing speaks against it.
+    /// There is no evidence against the request.
     Clear,
-    /// It was at several crashes: it is not sent to a second endpoint, and a whole run of it is reported.
+    /// The request was involved in several crashes. It is not sent to a second endpoint, and its
+    /// complete runs are reported.
     Suspect,
-    /// It is refused.
+    /// The request is refused.
     Quarantined,
 }
 
-/// The newest view of the quarantine at one entry.
+/// Most recent view of the quarantine at one entry.
 #[derive(Debug, Clone, Default)]
 pub struct PrintGuard {
     view: PrintView,
 }
 
 impl PrintGuard {
-    /// Takes a newer view; tells which requests are no longer in quarantine.
+    /// Replaces the view; returns the requests that are no longer in quarantine.
     pub fn adopt(&mut self, view: PrintView) -> Vec<RequestPrint> {
         let stays = |print: &&RequestPrint| view.quarantined.binary_search(print).is_err();
         let lifted = self.view.quarantined.iter().filter(stays).copied().collect();
@@ -29,17 +30,17 @@
         lifted
     }
 
-    /// Which view this is.
+    /// Version of the current view.
     pub fn version(&self) -> ViewVersion {
         self.view.version
     }
 
-    /// Whether any request has to be looked at.
+    /// Whether any request is suspected or in quarantine, so that requests must be checked.
     pub fn is_watching(&self) -> bool {
         !self.view.quarantined.is_empty() || !self.view.suspects.is_empty()
     }
 
-    /// How a request stands.
+    /// Status of the request with this print.
     pub fn standing(&self, print: RequestPrint) -> PrintStanding {
         if self.view.quarantined.binary_search(&print).is_ok() {
             PrintStanding::Quarantined
--- a/crates/quarantine/src/print_key.rs
+++ b/crates/quarantine/src/print_key.rs
@@ -1,48 +1,49 @@
-//! What identifies a request across its copies.
+//! Identification of a request by a keyed hash of its content.
 
 use briartray_model::names::RequestPrint;
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest that make a print.
+/// Number of digest bytes that are used for a print.
 const PRINT_BYTES: usize = 16;
 
-/// The secret under which all entries of a deployment make prints.
+/// Secret key for the prints of all entries of a deployment.
 ///
-/// Prints of a plain hash could be made to collide, and one team could have another's requests refused.
+/// With an unkeyed hash, collisions could be constructed, and one team could have the requests of
+/// another refused.
 #[derive(Debug, Clone)]
 pub struct PrintKey {
-    keyed: Sha256,
+    keyed_hasher: Sha256,
 }
 
-/// The parts of a request that its copies share.
+/// Parts of a request that are the same in all its copies.
 #[derive(Debug, Clone, Copy)]
 pub struct PrintParts<'a> {
-    /// Host name that was asked.
+    /// Requested host name.
     pub host: &'a str,
     /// Path with query.
     pub path: &'a str,
-    /// Team of the caller, where it is known.
+    /// Team of the caller, if known.
     pub team: Option<&'a str>,
     /// Body.
     pub body: &'a [u8],
 }
 
 impl PrintKey {
-    /// The key made of `secret`.
+    /// Derives the key from `secret`.
     pub fn new(secret: &str) -> Self {
-        let mut keyed = Sha256::new();
-        add(&mut keyed, secret.as_bytes());
-        Self { keyed }
+        let mut keyed_hasher = Sha256::new();
+        update_with_length(&mut keyed_hasher, secret.as_bytes());
+        Self { keyed_hasher }
     }
 
-    /// The print of a request.
+    /// Computes the print of a request.
     pub fn print(&self, parts: &PrintParts<'_>) -> RequestPrint {
-        let mut hasher = self.keyed.clone();
-        add(&mut hasher, parts.host.as_bytes());
-        add(&mut hasher, parts.path.as_bytes());
+        let mut hasher = self.keyed_hasher.clone();
+        update_with_length(&mut hasher, parts.host.as_bytes());
+        update_with_length(&mut hasher, parts.path.as_bytes());
         hasher.update([u8::from(parts.team.is_some())]);
-        add(&mut hasher, parts.team.unwrap_or_default().as_bytes());
-        add(&mut hasher, parts.body);
+        update_with_length(&mut hasher, parts.team.unwrap_or_default().as_bytes());
+        update_with_length(&mut hasher, parts.body);
         let digest = hasher.finalize();
         let mut bytes = [0; PRINT_BYTES];
         bytes.copy_from_slice(&digest[..PRINT_BYTES]);
@@ -50,8 +51,9 @@
     }
 }
 
-/// Adds a part with its length, so that no two lists of parts make the same bytes.
-fn add(hasher: &mut Sha256, part: &[u8]) {
+/// Hashes a part with its length as a prefix, so that different lists of parts never hash the same
+/// bytes.
+fn update_with_length(hasher: &mut Sha256, part: &[u8]) {
     hasher.update((part.len() as u64).to_be_bytes());
     hasher.update(part);
 }
--- a/crates/quarantine/src/quarantine_list.rs
+++ b/crates/quarantine/src/quarantine_list.rs
@@ -1,37 +1,37 @@
-//! The requests that control hosts have agreed to refuse.
+//! Replicated list of the requests in quarantine.
 
 use briartray_model::names::{IncarnationId, RequestPrint, TeamName};
 use briartray_model::plain_value;
 
-/// Requests that are in quarantine at one time; the oldest makes room for a new one.
+/// Maximum number of requests in quarantine; a new one replaces the oldest.
 const MAX_QUARANTINED: usize = 256;
 
 plain_value! {
-    /// A request in quarantine, and why.
+    /// A request in quarantine, with the evidence.
     pub struct QuarantineRecord {
-        /// The request.
+        /// Print of the request.
         pub print: RequestPrint,
-        /// Rule that it came under.
+        /// Rule that applied to the request.
         pub rule: String,
-        /// Team of its caller, where it is known.
+        /// Team of the caller, if known.
         pub team: Option<TeamName>,
-        /// Endpoints that crashed under it.
+        /// Endpoints that crashed while running the request.
         pub endpoints: Vec<IncarnationId>,
     }
 
-    /// A request in quarantine as operators see it.
+    /// A request in quarantine as shown to operators.
     pub struct ShownRecord {
-        /// The request.
+        /// Print of the request, in text form.
         pub print: String,
-        /// Rule that it came under.
+        /// Rule that applied to the request.
         pub rule: String,
-        /// Team of its caller, where it is known.
+        /// Team of the caller, if known.
         pub team: Option<TeamName>,
-        /// Endpoints that crashed under it.
+        /// Endpoints that crashed while running the request, in text form.
         pub crashed: Vec<String>,
     }
 
-    /// Requests in quarantine, the oldest first.
+    /// Requests in quarantine, oldest first.
     #[derive(Default)]
     pub struct QuarantineList {
         records: Vec<QuarantineRecord>,
@@ -39,7 +39,7 @@
 }
 
 impl QuarantineRecord {
-    /// The record as operators see it.
+    /// Converts the record for operators.
     pub fn shown(&self) -> ShownRecord {
         ShownRecord {
             print: self.print.to_string(),
@@ -51,7 +51,7 @@
 }
 
 impl QuarantineList {
-    /// The requests, the oldest first.
+    /// The records, oldest first.
     pub fn records(&self) -> &[QuarantineRecord] {
         &self.records
     }
@@ -61,7 +61,7 @@
         self.records.iter().any(|record| record.print == print)
     }
 
-    /// The prints, in order.
+    /// The prints in ascending order.
     pub fn prints(&self) -> Vec<RequestPrint> {
         let mut prints: Vec<RequestPrint> =
             self.records.iter().map(|record| record.print).collect();
@@ -69,7 +69,7 @@
         prints
     }
 
-    /// Adds a request, unless it is there.
+    /// Adds a request, unless it is already in the list.
     pub fn add(&mut self, record: &QuarantineRecord) {
         if self.holds(record.print) {
             return;
@@ -80,7 +80,7 @@
         self.records.push(record.clone());
     }
 
-    /// Lets a request out.
+    /// Removes a request.
     pub fn lift(&mut self, print: RequestPrint) {
         self.records.retain(|record| record.print != print);
     }
--- a/crates/quarantine/src/quarantine_desk.rs
+++ b/crates/quarantine/src/quarantine_tracker.rs
@@ -1,4 +1,4 @@
-//! What a leader does about requests that crash endpoints.
+//! The leader's handling of requests that crash endpoints.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use super::{CrashBook, QuarantineList, QuarantineRecord};
 
-/// Time after which a request in quarantine is tried again: what runs it may have been replaced by then. A new
-/// leader counts anew.
-const QUARANTINE_LASTS: Duration = Duration::from_secs(3_600);
+/// Time after which a quarantine is lifted for another try, since the endpoints may have been
+/// replaced. A new leader starts the time again.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(3_600);
 
-/// The crashes that a leader knows of, and what entries are told.
+/// Crashes known to a leader, and the view for entries.
 #[derive(Debug, Clone)]
 pub struct QuarantineDesk {
     crashes: CrashBook,
     view: PrintView,
-    /// The view may have changed.
-    due: bool,
-    /// Since when requests are in quarantine, as far as this leader knows.
+    /// Whether the view may be outdated.
+    view_stale: bool,
+    /// When this leader first saw each request in quarantine.
     since: SortedTable<RequestPrint, TimePoint>,
 }
 
@@ -28,66 +28,66 @@
         Self {
             crashes: CrashBook::default(),
             view: PrintView::default(),
-            due: true,
+            view_stale: true,
             since: SortedTable::new(),
         }
     }
 }
 
 impl QuarantineDesk {
-    /// Takes a run that an entry reports.
+    /// Records a run reported by an entry, unless its request is in quarantine.
     pub fn take(&mut self, now: TimePoint, event: &RunEvent, list: &QuarantineList) {
         if !list.holds(event.print) {
-            self.due |= self.crashes.take(now, event);
+            self.view_stale |= self.crashes.record_run(now, event);
         }
     }
 
-    /// Requests to put into quarantine now, each once.
+    /// Returns the requests to quarantine now, each of them once.
     pub fn take_fatal(&mut self) -> Vec<QuarantineRecord> {
         self.crashes.take_fatal()
     }
 
-    /// The command about `print` was lost: it is given again.
+    /// Records that the command for `print` was lost, so that it is repeated.
     pub fn lost(&mut self, print: RequestPrint) {
         self.crashes.lost(print);
     }
 
-    /// `print` is in quarantine now.
+    /// Records that `print` was put into quarantine.
     pub fn added(&mut self, print: RequestPrint) {
         self.crashes.forget(print);
-        self.due = true;
+        self.view_stale = true;
     }
 
-    /// `print` was let out.
+    /// Records that the quarantine of `print` was lifted.
     pub fn lifted(&mut self, now: TimePoint, print: RequestPrint) {
         self.crashes.clear(now, print);
-        self.due = true;
+        self.view_stale = true;
     }
 
-    /// Forgets crashes that count no more; names requests that have been in quarantine for long.
+    /// Removes expired crashes; returns the requests whose quarantine has expired.
     pub fn keep(&mut self, now: TimePoint, list: &QuarantineList) -> Vec<RequestPrint> {
-        self.due |= self.crashes.prune(now);
+        self.view_stale |= self.crashes.prune(now);
         self.since.retain(|print, _| list.holds(*print));
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for record in list.records() {
             let since = self.since.get_or_insert_with(record.print, || now);
-            if now.since(*since) >= QUARANTINE_LASTS {
-                // A lift that is lost is made again after the same time.
+            if now.since(*since) >= QUARANTINE_DURATION {
+                // A lift that gets lost is repeated after the same time.
                 *since = now;
-                over.push(record.print);
+                expired.push(record.print);
             }
         }
-        over
+        expired
     }
 
-    /// Whether entries may have to be told of another view.
+    /// Whether the view for entries may be outdated.
     pub fn is_due(&self) -> bool {
-        self.due
+        self.view_stale
     }
 
-    /// Brings the view up to date in the leader's `term`.
+    /// Updates the view if needed, for the leader's `term`, and returns it.
     pub fn refresh(&mut self, term: TermNumber, list: &QuarantineList) -> &PrintView {
-        if std::mem::take(&mut self.due) {
+        if std::mem::take(&mut self.view_stale) {
             let (quarantined, suspects) = (list.prints(), self.crashes.suspects());
             let known = &self.view;
             let same = known.quarantined == quarantined && known.suspects == suspects;
@@ -99,7 +99,7 @@
         &self.view
     }
 
-    /// The newest view.
+    /// The current view.
     pub fn view(&self) -> &PrintView {
         &self.view
     }
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -1,8 +1,9 @@
-//! Who is let in, in what order, and who is told at once to come back later.
+//! Admission control: which requests are admitted, in what order, and which are refused at once
+//! with a retry time.
 //!
-//! An [`AdmissionQueue`] belongs to one entry. Each service has a window of slots; requests beyond
-//! it wait in bounded queues, one per team, which are served by weighted start-time fair queueing.
-//! A request that cannot be done in time is refused as soon as that is known.
+//! Each entry has its own [`AdmissionQueue`]. Every service has a concurrency window. Requests
+//! beyond it wait in bounded queues, one per team, which are served by weighted start-time fair
+//! queueing. A request that cannot finish before its deadline is refused as soon as this is known.
 
 mod limit;
 mod queue;
@@ -13,7 +14,7 @@
 mod verdict;
 mod window;
 
-pub use limit::{LimitKey, LimitUse, TeamLimit};
+pub use limit::{LimitKey, LimitUsage, TeamLimit};
 pub use queue::AdmissionQueue;
 pub use share::{HolderId, LimitBook, ShareAsk};
 pub use verdict::{
--- a/crates/routing/src/admission/share.rs
+++ b/crates/routing/src/admission/share.rs
@@ -1,38 +1,38 @@
-//! One limit shared over many entries, so that the shares never add up to more than the limit.
+//! Shares of one limit for many entries, whose sum never exceeds the limit.
 //!
-//! The leader of control hands out shares by recent demand. A share is a lease: the entry counts
-//! its time from when it asked, the leader from when it answered and a margin longer, so the entry
-//! always stops first. Shares are counted in whole units: requests in flight, or thousandths of a
-//! request per second.
+//! The leader of the control hosts distributes shares by recent demand. A share is a lease. The
+//! entry counts its duration from the time it sent the request; the leader counts from its reply
+//! and adds a margin. The entry therefore always stops first. Shares are in whole units: requests
+//! in flight, or thousandths of a request per second.
 
 use std::time::Duration;
 
 use briartray_model::{SortedTable, TimePoint};
 
-/// Time between two looks at the demand of all entries.
-const LEVEL_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between updates of the fair level from the demand of all entries.
+const FAIR_LEVEL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Part of a limit that is spread evenly over entries without demand, as a divisor; an entry whose
-/// first request comes then need not wait for its next renewal.
-const STANDING_DIVISOR: u64 = 2;
+/// Divisor for the part of the limit that is distributed evenly, also to entries without demand.
+/// Their first request then need not wait for the next renewal.
+const BASE_SHARE_DIVISOR: u64 = 2;
 
-/// Which start of which entry holds a share.
+/// Identifies one process start of an entry as the holder of a share.
 ///
-/// An entry that starts anew holds nothing, but requests of its earlier self may still run, so that
-/// share must run out by itself.
+/// A restarted entry holds no share, but requests of its predecessor may still run. The
+/// predecessor's share must therefore expire on its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HolderId(pub u64);
 
-/// What an entry says about one limit.
+/// Renewal of one share by an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShareAsk {
-    /// Number of the renewal; grows with each.
+    /// Number of the renewal; increases with each one.
     pub nonce: u64,
-    /// What it could use now.
+    /// Units that the entry could use now.
     pub demand: u64,
-    /// What it holds now.
+    /// Units that the entry holds now.
     pub held: u64,
-    /// What it uses now, which may be more than it holds after its share became smaller.
+    /// Units in use now; may exceed `held` after the share was reduced.
     pub used: u64,
 }
 
@@ -40,66 +40,68 @@
 struct HolderShare {
     nonce: u64,
     demand: u64,
-    /// The most that the entry may hold by what the leader knows.
+    /// Upper bound on the units that the entry may hold, as far as the leader knows.
     committed: u64,
     until: TimePoint,
 }
 
-/// One limit as the leader shares it out.
+/// One limit and its shares, as kept by the leader.
 #[derive(Debug)]
 pub struct LimitBook {
     limit: u64,
     lease: Duration,
-    grow_from: TimePoint,
+    grants_from: TimePoint,
     holders: SortedTable<HolderId, HolderShare>,
     committed: u64,
-    level: u64,
-    standing: u64,
-    leveled_at: Option<TimePoint>,
+    fair_level: u64,
+    base_share: u64,
+    fair_level_at: Option<TimePoint>,
 }
 
 impl LimitBook {
-    /// A book that a leader opens at `now`, with a lease that includes the margin for drift.
+    /// Opens the book of a new leader. `lease` includes the margin for clock drift.
     ///
-    /// Shares of an earlier leader may still be held. Until they have run out this leader confirms
-    /// what entries hold and gives nothing besides; it would otherwise give the same share twice.
+    /// Entries may still hold shares from an earlier leader. Until these have expired, the new
+    /// leader only confirms what entries hold; granting more could assign the same units twice.
     pub fn open(now: TimePoint, limit: u64, lease: Duration) -> Self {
         Self {
             limit,
             lease,
-            grow_from: now.after(lease),
+            grants_from: now.after(lease),
             holders: SortedTable::new(),
             committed: 0,
-            level: 0,
-            standing: 0,
-            leveled_at: None,
+            fair_level: 0,
+            base_share: 0,
+            fair_level_at: None,
         }
     }
 
-    /// Changes the limit; shares over a lower one come back with the next renewals.
+    /// Changes the limit. If it is lower, the excess is reclaimed with the next renewals.
     pub fn set_limit(&mut self, limit: u64) {
         self.limit = limit;
     }
 
-    /// Answers a renewal with the entry's share; `None` when the renewal came out of order.
+    /// Answers a renewal with the entry's share; `None` if the renewal arrived out of order.
     ///
-    /// An entry takes an answer only before it sends its next renewal. A renewal therefore settles
-    /// which earlier answers were taken: none that is on its way still counts. An entry that told of
-    /// a share takes the answer only while it still holds that share: an earlier leader may have
-    /// given it to another since, and this leader would not know.
-    pub fn renew(&mut self, now: TimePoint, holder: HolderId, ask: &ShareAsk) -> Option<u64> {
-        if self.holders.get(&holder).is_some_and(|known| ask.nonce <= known.nonce) {
+    /// An entry accepts an answer only before it sends its next renewal. A renewal therefore
+    /// settles which earlier answers were accepted: no answer still in transit counts any more. An
+    /// entry that reported a share accepts the answer only while that share is valid: an earlier
+    /// leader may have granted it to another entry since then, unknown to this leader.
+    pub fn renew(&mut self, now: TimePoint, holder: HolderId, request: &ShareAsk) -> Option<u64> {
+        if self.holders.get(&holder).is_some_and(|known| request.nonce <= known.nonce) {
             return None;
         }
-        self.refresh_level(now);
+        self.refresh_fair_level(now);
         let before = self.holders.get(&holder).map_or(0, |known| known.committed);
         let others = self.committed - before;
         let room = self.limit.saturating_sub(others);
-        let share = if now < self.grow_from { ask.held } else { self.target(ask.demand) }.min(room);
-        let committed = share.max(ask.held).max(ask.used);
+        let share =
+            if now < self.grants_from { request.held } else { self.target_share(request.demand) }
+                .min(room);
+        let committed = share.max(request.held).max(request.used);
         self.committed = others + committed;
         let until = now.after(self.lease);
-        let known = HolderShare { nonce: ask.nonce, demand: ask.demand, committed, until };
+        let known = HolderShare { nonce: request.nonce, demand: request.demand, committed, until };
         self.holders.insert(holder, known);
         Some(share)
     }
@@ -109,43 +111,43 @@
         self.committed
     }
 
-    /// Entries that hold a share or asked for one.
+    /// Number of entries that hold or have requested a share.
     pub fn holders(&self) -> usize {
         self.holders.len()
     }
 
-    /// Forgets entries whose share has run out; tells whether any is left.
+    /// Removes entries whose shares have expired; returns whether any entry is left.
     pub fn expire(&mut self, now: TimePoint) -> bool {
         self.holders.retain(|_, known| now < known.until);
         self.committed = self.holders.values().map(|known| known.committed).sum();
         !self.holders.is_empty()
     }
 
-    fn target(&self, demand: u64) -> u64 {
-        self.standing + demand.saturating_sub(self.standing).min(self.level)
+    fn target_share(&self, demand: u64) -> u64 {
+        self.base_share + demand.saturating_sub(self.base_share).min(self.fair_level)
     }
 
-    fn refresh_level(&mut self, now: TimePoint) {
-        if self.leveled_at.is_some_and(|at| now.since(at) < LEVEL_INTERVAL) {
+    fn refresh_fair_level(&mut self, now: TimePoint) {
+        if self.fair_level_at.is_some_and(|at| now.since(at) < FAIR_LEVEL_INTERVAL) {
             return;
         }
-        self.leveled_at = Some(now);
+        self.fair_level_at = Some(now);
         self.expire(now);
         let count = self.holders.len().max(1) as u64;
-        self.standing = self.limit / STANDING_DIVISOR / count;
-        let mut over: Vec<u64> = self
+        self.base_share = self.limit / BASE_SHARE_DIVISOR / count;
+        let mut excess: Vec<u64> = self
             .holders
             .values()
-            .map(|known| known.demand.saturating_sub(self.standing))
-            .filter(|over| *over > 0)
+            .map(|known| known.demand.saturating_sub(self.base_share))
+            .filter(|excess| *excess > 0)
             .collect();
-        self.level = water_level(&mut over, self.limit - self.standing * count);
+        self.fair_level = max_min_level(&mut excess, self.limit - self.base_share * count);
     }
 }
 
-/// The level up to which every demand can be met from `amount`: small demands are met in full and
-/// large ones get the same.
-fn water_level(demands: &mut [u64], amount: u64) -> u64 {
+/// Max-min fair level for `amount` units: demands up to the level are met in full, larger ones get
+/// the level.
+fn max_min_level(demands: &mut [u64], amount: u64) -> u64 {
     demands.sort_unstable();
     let mut left = amount;
     for (index, demand) in demands.iter().enumerate() {
@@ -155,6 +157,6 @@
         }
         left -= demand;
     }
-    // All is met; what is left may be asked for before the next look.
+    // All demands are met; the rest is available until the next update.
     demands.last().copied().unwrap_or_default() + left
 }
--- a/crates/routing/src/admission/sweep.rs
+++ b/crates/routing/src/admission/sweep.rs
@@ -1,4 +1,4 @@
-//! Giving up waiting requests that cannot be done in time any more.
+//! Refusal of waiting requests that can no longer meet their deadlines.
 
 use briartray_model::TimePoint;
 use briartray_model::names::TeamName;
@@ -11,7 +11,7 @@
 };
 use super::window::SlotWindow;
 
-/// Gives up requests of team `name`; each one given up shortens the wait of those behind it.
+/// Checks the requests of team `name`. Each refused request shortens the wait of those behind it.
 pub(super) fn sweep_team(
     now: TimePoint,
     service: &mut ServiceQueue,
@@ -21,32 +21,33 @@
 ) {
     let Some(team) = service.teams.get(name) else { return };
     let mut kept = 0;
-    let mut lost: Vec<(TicketNumber, AdmissionRefusal)> = Vec::new();
+    let mut refused: Vec<(TicketNumber, AdmissionRefusal)> = Vec::new();
     for request in &team.waiting {
         if service.window.capacity() == 0 {
-            lost.push((request.ticket, no_replica()));
+            refused.push((request.ticket, no_replica()));
             continue;
         }
-        let by_slots = service.wait(name, team.weight, request.priority, kept).unwrap_or_default();
+        let by_slots =
+            service.expected_wait(name, team.weight, request.priority, kept).unwrap_or_default();
         let limit = request.limit.as_ref().and_then(|key| limits.get_mut(key));
-        let by_limit =
-            limit.map_or(0.0, |limit| limit.wait(now, kept as f64, service.window.mean_time()));
+        let by_limit = limit
+            .map_or(0.0, |limit| limit.expected_wait(now, kept as f64, service.window.mean_time()));
         let need = time_needed(&service.window, request);
-        let over = by_slots.max(by_limit) + need - request.deadline.since(now).as_secs_f64();
-        if over > 0.0 {
-            lost.push((request.ticket, refuse(RefusalCause::TooLate, over)));
+        let excess = by_slots.max(by_limit) + need - request.deadline.since(now).as_secs_f64();
+        if excess > 0.0 {
+            refused.push((request.ticket, refuse(RefusalCause::TooLate, excess)));
         } else {
             kept += 1;
         }
     }
     let Some(team) = service.teams.get_mut(name) else { return };
-    for (ticket, refusal) in lost {
+    for (ticket, refusal) in refused {
         team.remove(ticket);
         outputs.push(AdmissionOutput { ticket, verdict: AdmissionVerdict::Refuse(refusal) });
     }
 }
 
-/// Time in seconds that `request` needs once it starts.
+/// Time in seconds that `request` needs once it has started.
 pub(super) fn time_needed(window: &SlotWindow, request: &WaitingRequest) -> f64 {
     window.time_needed(request.deadline.since(request.arrived))
 }
--- a/crates/routing/src/admission/team.rs
+++ b/crates/routing/src/admission/team.rs
@@ -1,4 +1,4 @@
-//! Requests of one team that wait for one service.
+//! Queue of the requests of one team that wait for one service.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 use super::limit::LimitKey;
 use super::verdict::TicketNumber;
 
-/// One waiting request.
+/// A waiting request.
 #[derive(Debug, Clone)]
 pub(super) struct WaitingRequest {
     pub(super) ticket: TicketNumber,
@@ -17,39 +17,40 @@
     pub(super) limit: Option<LimitKey>,
 }
 
-/// Waiting requests of one team: higher priority first, then in order of arrival.
+/// Waiting requests of one team, by descending priority and then by arrival.
 #[derive(Debug, Default)]
 pub(super) struct TeamQueue {
     pub(super) weight: f64,
-    /// Virtual time at which what was dispatched so far is paid for.
-    pub(super) paid_until: f64,
-    /// Number of its last dispatch.
-    pub(super) served: u64,
+    /// Virtual time up to which the dispatched requests are charged (the finish tag of fair
+    /// queueing).
+    pub(super) finish_tag: f64,
+    /// Sequence number of the team's last dispatch.
+    pub(super) last_dispatch: u64,
     pub(super) waiting: VecDeque<WaitingRequest>,
 }
 
 impl TeamQueue {
-    /// Requests that would be served before one of `priority` that comes now.
-    pub(super) fn ahead_of(&self, priority: u8) -> usize {
+    /// Number of requests that would be served before a new one of `priority`.
+    pub(super) fn count_ahead(&self, priority: u8) -> usize {
         self.waiting.partition_point(|request| request.priority >= priority)
     }
 
-    /// Requests of a priority over `priority`.
-    pub(super) fn above(&self, priority: u8) -> usize {
+    /// Number of requests with a priority higher than `priority`.
+    pub(super) fn count_above(&self, priority: u8) -> usize {
         self.waiting.partition_point(|request| request.priority > priority)
     }
 
-    /// Puts `request` behind those that came before it.
+    /// Inserts `request` by priority and then by ticket number.
     pub(super) fn push(&mut self, request: WaitingRequest) {
-        let place = self.waiting.partition_point(|other| {
+        let position = self.waiting.partition_point(|other| {
             (u8::MAX - other.priority, other.ticket) < (u8::MAX - request.priority, request.ticket)
         });
-        self.waiting.insert(place, request);
+        self.waiting.insert(position, request);
     }
 
-    /// Takes the request with `ticket` out.
+    /// Removes and returns the request with `ticket`.
     pub(super) fn remove(&mut self, ticket: TicketNumber) -> Option<WaitingRequest> {
-        let place = self.waiting.iter().position(|request| request.ticket == ticket)?;
-        self.waiting.remove(place)
+        let position = self.waiting.iter().position(|request| request.ticket == ticket)?;
+        self.waiting.remove(position)
     }
 }
--- a/crates/routing/src/admission/verdict.rs
+++ b/crates/routing/src/admission/verdict.rs
@@ -1,4 +1,4 @@
-//! What is asked of an admission queue and what it answers.
+//! Requests to an admission queue and its answers.
 
 use std::time::Duration;
 
@@ -8,77 +8,78 @@
 
 use super::limit::LimitKey;
 
-/// Shortest time after which a refused caller is asked to come back.
+/// Minimum retry time given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// Longest such time; what lies further ahead is not known.
+/// Maximum retry time; the load further ahead cannot be predicted.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// One request at one entry.
+/// Identifies one request at one entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct TicketNumber(pub u64);
 
-/// What asks to be let in.
+/// A request for admission.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
-    /// Service wanted.
+    /// Requested service.
     pub service: &'a ServiceName,
     /// Team of the caller.
     pub team: &'a TeamName,
-    /// How rules let it in.
+    /// Admission parameters from the rules.
     pub action: &'a AdmitAction,
-    /// Limit it falls under.
+    /// Limit that applies to the request, if any.
     pub limit: Option<&'a LimitKey>,
-    /// When the caller's time is over.
+    /// Deadline of the caller.
     pub deadline: TimePoint,
 }
 
-/// Why a request is not let in.
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// As many requests of the team wait as its rule allows.
+    /// The team has as many waiting requests as its rule allows.
     TeamQueueFull,
-    /// The entry holds as many requests as it can, and this team has its share of them.
+    /// The entry holds as many requests as it can, and the team has its share of them.
     EntryFull,
-    /// It would not be done before its deadline.
+    /// The request would miss its deadline.
     TooLate,
     /// The service has no whole replica.
     NoReplica,
 }
 
-/// A refusal; the request was not run.
+/// Refusal of a request that was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub cause: RefusalCause,
-    /// When it is worth coming back.
+    /// Time after which a retry is worthwhile.
     pub retry_after: Duration,
 }
 
-/// What became of a waiting request.
+/// Outcome for a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionVerdict {
-    /// It runs now; `finish` or `requeue` must follow.
+    /// The request runs now; [`AdmissionQueue::finish`](super::AdmissionQueue::finish) or
+    /// [`AdmissionQueue::requeue`](super::AdmissionQueue::requeue) must follow.
     Run,
-    /// It was given up.
+    /// The request is refused and removed from the queue.
     Refuse(AdmissionRefusal),
 }
 
-/// A verdict on one waiting request.
+/// Verdict on one waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionOutput {
-    /// Which request.
+    /// The request.
     pub ticket: TicketNumber,
-    /// What becomes of it.
+    /// Its outcome.
     pub verdict: AdmissionVerdict,
 }
 
-/// Refusal where no replica is whole.
+/// Refusal because no replica is whole.
 pub(super) fn no_replica() -> AdmissionRefusal {
     refuse(RefusalCause::NoReplica, 1.0)
 }
 
-/// Refusal with the time in seconds after which it is worth coming back.
+/// Refusal with a retry time of `wait` seconds, limited to the allowed range.
 pub(super) fn refuse(cause: RefusalCause, wait: f64) -> AdmissionRefusal {
     let wait = Duration::from_secs_f64(wait.clamp(0.0, MAX_RETRY_AFTER.as_secs_f64()));
     AdmissionRefusal { cause, retry_after: wait.max(MIN_RETRY_AFTER) }
--- a/crates/routing/src/attempt/book.rs
+++ b/crates/routing/src/attempt/book.rs
@@ -1,11 +1,11 @@
-//! The attempts that one agent process has seen.
+//! Attempts known to one agent process.
 //!
-//! A tombstone is worth something only while it is remembered. The bound works without comparing
-//! clocks: the link proves how long an order can have been on its way, and the book refuses
-//! orders older than [`MAX_ORDER_AGE`] while it remembers every settled attempt for
-//! [`TOMBSTONE_MEMORY`], which is longer. When it has no room left it refuses new work rather
-//! than forget early. An agent that restarted remembers nothing; orders name the start of the
-//! process they are meant for, so none of them reaches its successor.
+//! A tombstone is useful only while it is remembered. The bound needs no synchronized clocks: the
+//! link proves an upper bound on the age of a dispatch, and the book refuses dispatches older than
+//! [`MAX_DISPATCH_AGE`] while it remembers every settled attempt for the longer
+//! [`TOMBSTONE_RETENTION`]. A full book refuses new attempts and never forgets early. A restarted
+//! agent remembers nothing, but a dispatch names the process start that it is meant for, so its
+//! successor never runs it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,56 +14,60 @@
 use briartray_model::names::AttemptId;
 use briartray_model::{SortedTable, TimePoint};
 
-/// Oldest order that is taken, counted from the last proof that the path works.
-pub const MAX_ORDER_AGE: Duration = Duration::from_secs(10);
+/// Maximum age of an accepted dispatch, counted from the last proof that the link works.
+pub const MAX_DISPATCH_AGE: Duration = Duration::from_secs(10);
 
 /// How long a settled attempt is remembered.
-pub const TOMBSTONE_MEMORY: Duration = Duration::from_secs(60);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Bounds of one book.
+/// Limits of one book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BookLimits {
-    /// Attempts remembered at most.
-    pub attempts: usize,
-    /// Oldest order that is taken.
-    pub order_age: Duration,
+    /// Maximum number of remembered attempts.
+    pub max_attempts: usize,
+    /// Maximum age of an accepted dispatch.
+    pub max_dispatch_age: Duration,
     /// How long settled attempts are remembered.
-    pub memory: Duration,
+    pub retention: Duration,
 }
 
 impl Default for BookLimits {
     fn default() -> Self {
-        Self { attempts: 65_536, order_age: MAX_ORDER_AGE, memory: TOMBSTONE_MEMORY }
+        Self {
+            max_attempts: 65_536,
+            max_dispatch_age: MAX_DISPATCH_AGE,
+            retention: TOMBSTONE_RETENTION,
+        }
     }
 }
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
     /// Handed to the endpoint.
     Running,
-    /// Over.
+    /// Ended after the endpoint was called.
     Ended,
     /// Never started and must never start.
     Tombstoned,
 }
 
-/// Answer to the question whether an attempt may start.
+/// Whether an attempt may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BeginDecision {
-    /// It may, and is now running.
+    /// The attempt may start and is now marked as running.
     Start,
-    /// It was seen before; starting it again would run it twice.
+    /// The attempt is already known; starting it would run it a second time.
     Duplicate,
-    /// A tombstone came first.
+    /// A tombstone forbids the attempt.
     Tombstoned,
-    /// It was on its way for too long; its tombstone may be forgotten.
+    /// The dispatch was in transit for too long; a tombstone for it may have been forgotten.
     TooOld,
     /// The book is full.
     Full,
 }
 
-/// Attempts by id, bounded in number and time.
+/// Attempts by id, bounded in number and age.
 #[derive(Debug, Default)]
 pub struct AttemptBook {
     limits: BookLimits,
@@ -72,23 +76,23 @@
 }
 
 impl AttemptBook {
-    /// An empty book.
+    /// Creates an empty book.
     pub fn new(limits: BookLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Attempts that are remembered.
+    /// Number of remembered attempts.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Marks `attempt` as running unless it was seen before. `age` bounds how long the order can
-    /// have been on its way.
+    /// Marks `attempt` as running unless it is already known. `age` is an upper bound on the time
+    /// that the dispatch was in transit.
     pub fn begin(&mut self, now: TimePoint, attempt: AttemptId, age: Duration) -> BeginDecision {
         self.expire(now);
         match self.states.get(&attempt) {
@@ -96,17 +100,17 @@
             Some(AttemptState::Running | AttemptState::Ended) => return BeginDecision::Duplicate,
             None => {}
         }
-        if age > self.limits.order_age {
+        if age > self.limits.max_dispatch_age {
             return BeginDecision::TooOld;
         }
-        if self.states.len() >= self.limits.attempts {
+        if self.states.len() >= self.limits.max_attempts {
             return BeginDecision::Full;
         }
         self.states.insert(attempt, AttemptState::Running);
         BeginDecision::Start
     }
 
-    /// Marks a running attempt as over; `started` tells whether the endpoint was called.
+    /// Marks a running attempt as ended; `started` tells whether the endpoint was called.
     pub fn end(&mut self, now: TimePoint, attempt: AttemptId, started: bool) {
         if let Some(state) = self.states.get_mut(&attempt)
             && *state == AttemptState::Running
@@ -116,8 +120,8 @@
         }
     }
 
-    /// Makes sure that `attempt` does not start from now on, and tells whether it had. `age`
-    /// bounds the time since its dispatch was sent.
+    /// Ensures that `attempt` does not start from now on, and returns its state. `age` is an upper
+    /// bound on the time since its dispatch was sent.
     pub fn tombstone(
         &mut self,
         now: TimePoint,
@@ -131,9 +135,9 @@
             Some(AttemptState::Ended) => return TombstoneState::Ended,
             None => {}
         }
-        // An attempt that ended long ago is forgotten. To call it never run would be a lie that
-        // makes a caller send a payment again, so a late question gets no answer.
-        if age >= self.limits.memory || self.states.len() >= self.limits.attempts {
+        // An attempt that ended long ago is forgotten. Reporting it as never run could make a
+        // caller send a payment a second time, so a late request gets no definite answer.
+        if age >= self.limits.retention || self.states.len() >= self.limits.max_attempts {
             return TombstoneState::CannotTell;
         }
         self.states.insert(attempt, AttemptState::Tombstoned);
@@ -142,8 +146,8 @@
     }
 
     fn expire(&mut self, now: TimePoint) {
-        while let Some((since, attempt)) = self.settled.front().copied()
-            && now.since(since) > self.limits.memory
+        while let Some((settled_at, attempt)) = self.settled.front().copied()
+            && now.since(settled_at) > self.limits.retention
         {
             self.settled.pop_front();
             self.states.remove(&attempt);
--- a/crates/routing/src/attempt/buffer.rs
+++ b/crates/routing/src/attempt/buffer.rs
@@ -1,8 +1,9 @@
-//! The answer of one attempt as its agent holds it, independent of the stream to the entry.
+//! Answer of one attempt, buffered by its agent independently of the stream to the entry.
 //!
-//! The endpoint's side pushes; at most one reader takes. When the stream to the entry breaks, the
-//! endpoint goes on for a while, and the entry's next reader starts at the offset it names. The
-//! newest chunks stay after they were taken, because a chunk that was sent need not have arrived.
+//! The endpoint's side pushes chunks, and at most one reader takes them. If the stream to the entry
+//! breaks, the endpoint continues for a while, and the entry's next reader starts at the offset
+//! that it names. The newest chunks are kept after they were read, because a chunk that was sent
+//! has not necessarily arrived.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -23,43 +24,43 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// Every chunk is there.
+    /// The answer is complete.
     Whole,
     /// The endpoint was not called.
     Refused(RefusalReason),
-    /// The answer is not whole.
+    /// The answer is incomplete.
     Failed {
-        /// What is known about its effect.
+        /// What is known about the effect of the call.
         outcome: CallOutcome,
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
-        /// The start of the endpoint that crashed meanwhile, where it did.
+        /// Incarnation of the endpoint, if it crashed during the attempt.
         crashed: Option<IncarnationId>,
     },
 }
 
-/// What a reader gets.
+/// Item returned to a reader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BufferItem {
-    /// The head.
+    /// Head of the answer.
     Head(AnswerHead),
-    /// The next chunk.
+    /// Next chunk.
     Chunk {
-        /// Its position.
+        /// Sequence number of the chunk, from zero.
         sequence: u64,
-        /// The chunk itself.
+        /// Content of the chunk.
         data: Vec<u8>,
     },
-    /// The end, with the count of chunks.
+    /// End of the answer.
     End {
-        /// How many chunks there are.
+        /// Total number of chunks.
         count: u64,
-        /// How it ended.
+        /// How the attempt ended.
         end: AnswerEnd,
     },
-    /// Nothing new yet.
+    /// No new item yet.
     Nothing,
-    /// Another reader took over.
+    /// A newer reader has replaced this one.
     Superseded,
 }
 
@@ -94,7 +95,7 @@
 }
 
 impl AnswerBuffer {
-    /// An empty buffer that holds about `limit` bytes of chunks.
+    /// Creates an empty buffer for about `limit` bytes of chunks.
     pub fn new(now: TimePoint, limit: usize) -> Self {
         Self {
             limit,
@@ -115,12 +116,12 @@
         self.head = Some(head);
     }
 
-    /// Whether another chunk may be pushed: the oldest one can go, or there is room.
+    /// Whether another chunk may be pushed: the buffer has room, or its oldest chunk has been read.
     pub fn has_room(&self) -> bool {
         self.bytes < self.limit || self.first < self.taken
     }
 
-    /// Stores the next chunk; drops the oldest chunks that were taken when over the limit.
+    /// Stores the next chunk. Above the limit, drops the oldest chunks that have been read.
     pub fn push(&mut self, data: Vec<u8>) {
         self.bytes += data.len();
         self.chunks.push_back(data);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Stores the end; the first one stays.
+    /// Stores the end, unless one is already stored.
     pub fn finish(&mut self, end: AnswerEnd) {
         self.end.get_or_insert(end);
     }
@@ -141,8 +142,8 @@
         self.end.as_ref()
     }
 
-    /// Lets a reader start at `offset` and turns an earlier one away; `None` when chunks from
-    /// there on are gone or `offset` is ahead of the answer.
+    /// Attaches a reader at `offset`, in chunks, and replaces an earlier reader. Returns `None` if
+    /// the chunks from `offset` on were dropped or `offset` is beyond the end of the answer.
     pub fn attach(&mut self, offset: u64) -> Option<BufferReader> {
         let next = self.first + self.chunks.len() as u64;
         if offset < self.first || offset > next {
@@ -154,7 +155,7 @@
         Some(BufferReader { number: self.last_reader, head_taken: false, next: offset })
     }
 
-    /// Notes that `reader` lost its stream.
+    /// Records that the stream of `reader` broke.
     pub fn detach(&mut self, now: TimePoint, reader: &BufferReader) {
         if reader.number == self.last_reader && self.attached {
             self.attached = false;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The next item for `reader`.
+    /// Returns the next item for `reader`.
     pub fn take(&mut self, reader: &mut BufferReader) -> BufferItem {
         if reader.number != self.last_reader {
             return BufferItem::Superseded;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Whether no reader has been there for `grace`.
+    /// Whether no reader has been attached for at least `grace`.
     pub fn is_abandoned(&self, now: TimePoint, grace: Duration) -> bool {
         !self.attached && now.since(self.detached_since) >= grace
     }
--- a/crates/routing/src/attempt/tracker.rs
+++ b/crates/routing/src/attempt/tracker.rs
@@ -1,9 +1,9 @@
-//! One attempt as its entry follows it: after each event, what to do next.
+//! State machine of one attempt on its entry.
 //!
-//! The tracker alone decides what the caller may see and what the entry may claim. `not_run` comes
-//! out of it only as [`TrackerAction::Refused`]: the order never left, the agent refused it, or
-//! the same agent process confirmed a tombstone. A chunk reaches the caller only with the right
-//! attempt id and the next sequence number, an end only with the right count.
+//! The tracker alone decides what the caller may see and what the entry may report. It reports
+//! `not_run` only as [`TrackerAction::Refused`]: the dispatch was never sent, the agent refused it,
+//! or the same agent process confirmed a tombstone. A chunk reaches the caller only with the
+//! matching attempt id and the next sequence number, and an end only with the matching count.
 
 use std::time::Duration;
 
@@ -13,162 +13,163 @@
 };
 use briartray_model::names::{AttemptId, IncarnationId};
 
-/// Time without any frame after which the path is taken for dead; agents send progress marks far
-/// more often, so a slow engine never trips it.
-pub const SILENCE_BOUND: Duration = Duration::from_millis(1500);
+/// Time without a frame after which the connection is considered dead. Agents send progress frames
+/// far more often, so a slow engine does not exceed it.
+pub const FRAME_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The same before the first frame, which the agent sends as soon as the order has a slot.
-pub const ACCEPT_BOUND: Duration = Duration::from_millis(700);
+/// The same before the first frame, which the agent sends as soon as the attempt has a slot.
+pub const ACCEPT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// New connections that are tried while nothing else can be done for the caller.
+/// Maximum number of reconnects while there is no alternative for the caller.
 const MAX_RECONNECTS: u32 = 5;
 
-/// Wait before each new connection after the first.
+/// Delay before each reconnect after the first.
 const RECONNECT_WAIT: Duration = Duration::from_millis(200);
 
-/// What is fixed when an attempt starts.
+/// Parameters of an attempt that are fixed at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TrackerPlan {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Agent process that the order is meant for.
+    /// Incarnation of the agent process that the dispatch is meant for.
     pub incarnation: u64,
-    /// Whether the call may run a second time elsewhere.
+    /// Whether the call may be run again on another replica.
     pub repeatable: bool,
-    /// When the caller's time is up.
+    /// Deadline of the caller.
     pub deadline: TimePoint,
 }
 
-/// What the entry does next.
+/// Next action of the entry.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TrackerAction {
-    /// Read on.
+    /// Read the next frame.
     Wait,
-    /// Read on; the frame belonged to another attempt.
+    /// Read the next frame; this one belonged to another attempt.
     Crossed,
-    /// Note status and content type.
+    /// Store status and content type.
     Head {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: String,
     },
-    /// Hand the chunk to the caller.
+    /// Send the chunk to the caller.
     Deliver(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     Finish(LoadReport),
-    /// Open a new connection after the wait, send the request, and read from there.
+    /// Open a new connection after the delay, send the request, and read from that connection.
     Reconnect {
-        /// What to send.
+        /// Request to send.
         request: EntryRequest,
-        /// How long to wait first.
+        /// Delay before connecting.
         wait: Duration,
     },
     /// The attempt was not run and never will be.
     Refused(RefusalReason, Option<LoadReport>),
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete answer.
     Lost {
-        /// What may be said about its effect.
+        /// What is known about the effect of the call.
         outcome: CallOutcome,
-        /// What went wrong.
+        /// Description of the failure.
         detail: String,
-        /// The start of the endpoint that crashed meanwhile, where it did.
+        /// Incarnation of the endpoint, if it crashed during the attempt.
         crashed: Option<IncarnationId>,
     },
-    /// The deadline passed.
+    /// The deadline has passed.
     Late,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TrackerPhase {
-    /// The order was sent; frames are expected.
+    /// The dispatch was sent; frames are expected.
     Dispatched,
-    /// The agent was asked to go on from an offset.
+    /// The agent was asked to resume the answer at an offset.
     Resuming,
     /// The agent was asked for a tombstone.
     Tombstoning,
 }
 
-/// Follows one attempt.
+/// Tracks one attempt.
 #[derive(Debug)]
 pub struct AttemptTracker {
     plan: TrackerPlan,
     phase: TrackerPhase,
-    sent: TimePoint,
-    heard: TimePoint,
-    /// Whether the stream in use has brought a frame.
+    sent_at: TimePoint,
+    last_frame_at: TimePoint,
+    /// Whether the longer timeout applies: a frame has arrived, or the connection is a reconnect.
     accepted: bool,
     next_sequence: u64,
-    shown: bool,
+    delivered: bool,
     reconnects: u32,
     doubled: u64,
 }
 
 impl AttemptTracker {
-    /// A tracker for an order that is sent now.
+    /// Creates a tracker for a dispatch that is sent at `now`.
     pub fn new(now: TimePoint, plan: TrackerPlan) -> Self {
         Self {
             plan,
             phase: TrackerPhase::Dispatched,
-            sent: now,
-            heard: now,
+            sent_at: now,
+            last_frame_at: now,
             accepted: false,
             next_sequence: 0,
-            shown: false,
+            delivered: false,
             reconnects: 0,
             doubled: 0,
         }
     }
 
-    /// How long to wait for the next frame.
+    /// Time to wait for the next frame.
     pub fn wait(&self, now: TimePoint) -> Duration {
-        let bound = if self.accepted { SILENCE_BOUND } else { ACCEPT_BOUND };
-        let silent = self.heard.after(bound);
-        silent.min(self.plan.deadline).since(now)
+        let timeout = if self.accepted { FRAME_TIMEOUT } else { ACCEPT_TIMEOUT };
+        let timeout_at = self.last_frame_at.after(timeout);
+        timeout_at.min(self.plan.deadline).since(now)
     }
 
-    /// Notes that the caller has seen a part of the answer.
+    /// Records that the caller has received part of the answer.
     pub fn mark_shown(&mut self) {
-        self.shown = true;
+        self.delivered = true;
     }
 
-    /// Chunks that came a second time and were dropped.
+    /// Number of duplicate chunks that were dropped.
     pub fn doubled(&self) -> u64 {
         self.doubled
     }
 
-    /// Takes one frame.
+    /// Handles a frame.
     pub fn on_reply(&mut self, now: TimePoint, reply: AgentReply) -> TrackerAction {
         if reply.attempt() != self.plan.attempt {
             return TrackerAction::Crossed;
         }
-        self.heard = now;
+        self.last_frame_at = now;
         self.accepted = true;
         match reply {
             AgentReply::Accepted { .. } | AgentReply::Progress { .. } => TrackerAction::Wait,
             AgentReply::Head { status, content_type, .. } => {
                 TrackerAction::Head { status, content_type }
             }
-            AgentReply::Chunk { sequence, data, .. } => self.take_chunk(now, sequence, data),
-            AgentReply::End { count, load, .. } => self.take_end(now, count, load),
+            AgentReply::Chunk { sequence, data, .. } => self.on_chunk(now, sequence, data),
+            AgentReply::End { count, load, .. } => self.on_end(now, count, load),
             AgentReply::Refused { reason, load, .. } if self.next_sequence == 0 => {
                 TrackerAction::Refused(reason, Some(load))
             }
-            AgentReply::Refused { .. } => self.lost("the agent refused what it had begun"),
+            AgentReply::Refused { .. } => self.lost("agent refused an attempt that it had started"),
             AgentReply::Failed { outcome, detail, crashed, .. } => {
-                self.lost_as(outcome, &detail, crashed)
+                self.lost_with(outcome, &detail, crashed)
             }
-            AgentReply::NotHeld { .. } if self.shown => {
-                self.lost("the agent no longer holds the rest of the answer")
+            AgentReply::NotHeld { .. } if self.delivered => {
+                self.lost("agent no longer holds the rest of the answer")
             }
-            AgentReply::NotHeld { .. } => self.ask_tombstone(now),
+            AgentReply::NotHeld { .. } => self.request_tombstone(now),
             AgentReply::Tombstone { state, incarnation, .. } => {
-                self.take_tombstone(state, incarnation)
+                self.on_tombstone(state, incarnation)
             }
         }
     }
 
-    /// Takes the end of the stream before the end of the answer.
+    /// Handles the end of the stream before the end of the answer. `nothing_sent` tells whether the
+    /// dispatch was certainly not sent.
     pub fn on_break(&mut self, now: TimePoint, nothing_sent: bool) -> TrackerAction {
         if self.phase == TrackerPhase::Dispatched && nothing_sent {
             return TrackerAction::Refused(RefusalReason::EndpointUnreachable, None);
@@ -176,7 +177,7 @@
         self.reconnect(now)
     }
 
-    /// Takes the passing of [`AttemptTracker::wait`] without a frame.
+    /// Handles the expiry of [`AttemptTracker::wait`] without a frame.
     pub fn on_silence(&mut self, now: TimePoint) -> TrackerAction {
         if now >= self.plan.deadline {
             return TrackerAction::Late;
@@ -184,14 +185,14 @@
         self.reconnect(now)
     }
 
-    fn take_chunk(&mut self, now: TimePoint, sequence: u64, data: Vec<u8>) -> TrackerAction {
+    fn on_chunk(&mut self, now: TimePoint, sequence: u64, data: Vec<u8>) -> TrackerAction {
         if sequence < self.next_sequence {
             self.doubled += 1;
             return TrackerAction::Wait;
         }
         if sequence > self.next_sequence {
-            // A piece was lost on the way. Handing this one on would leave a hole that the caller
-            // cannot see, so the agent is asked again from the hole.
+            // A chunk was lost. Delivering this one would leave a gap that the caller cannot
+            // detect, so the agent is asked to resume at the gap.
             return self.reconnect(now);
         }
         self.next_sequence += 1;
@@ -199,54 +200,55 @@
         TrackerAction::Deliver(data)
     }
 
-    fn take_end(&mut self, now: TimePoint, count: u64, load: LoadReport) -> TrackerAction {
+    fn on_end(&mut self, now: TimePoint, count: u64, load: LoadReport) -> TrackerAction {
         match count.cmp(&self.next_sequence) {
             std::cmp::Ordering::Equal => TrackerAction::Finish(load),
             std::cmp::Ordering::Greater => self.reconnect(now),
-            std::cmp::Ordering::Less => self.lost("the answer's count is wrong"),
+            std::cmp::Ordering::Less => {
+                self.lost("more chunks received than the end of the answer counts")
+            }
         }
     }
 
-    fn take_tombstone(&self, state: TombstoneState, incarnation: u64) -> TrackerAction {
+    fn on_tombstone(&self, state: TombstoneState, incarnation: u64) -> TrackerAction {
         match state {
-            // Another process than the one that was asked knows nothing of what its predecessor
-            // handed to the endpoint.
+            // Another process does not know what its predecessor handed to the endpoint.
             TombstoneState::NeverRuns if incarnation == self.plan.incarnation => {
                 TrackerAction::Refused(RefusalReason::Tombstoned, None)
             }
-            TombstoneState::NeverRuns => self.lost("the agent restarted"),
+            TombstoneState::NeverRuns => self.lost("agent restarted"),
             TombstoneState::Running | TombstoneState::Ended => {
-                self.lost("the attempt ran and its answer is gone")
+                self.lost("attempt ran, but its answer is no longer available")
             }
-            TombstoneState::CannotTell => self.lost("the agent cannot tell whether it ran"),
+            TombstoneState::CannotTell => self.lost("agent cannot tell whether the attempt ran"),
         }
     }
 
-    fn ask_tombstone(&mut self, now: TimePoint) -> TrackerAction {
+    fn request_tombstone(&mut self, now: TimePoint) -> TrackerAction {
         self.phase = TrackerPhase::Tombstoning;
-        TrackerAction::Reconnect { request: self.question(now), wait: Duration::ZERO }
+        TrackerAction::Reconnect { request: self.next_request(now), wait: Duration::ZERO }
     }
 
     fn reconnect(&mut self, now: TimePoint) -> TrackerAction {
-        let limit = if self.plan.repeatable && !self.shown { 1 } else { MAX_RECONNECTS };
+        let limit = if self.plan.repeatable && !self.delivered { 1 } else { MAX_RECONNECTS };
         if self.reconnects >= limit || now >= self.plan.deadline {
-            return self.lost("the replica cannot be reached");
+            return self.lost("replica is unreachable");
         }
         if self.phase == TrackerPhase::Dispatched {
             self.phase = TrackerPhase::Resuming;
         }
         let wait = if self.reconnects == 0 { Duration::ZERO } else { RECONNECT_WAIT };
         self.reconnects += 1;
-        self.heard = now.after(wait);
-        // A new connection takes its time, so the longer bound holds for it.
+        self.last_frame_at = now.after(wait);
+        // Connecting takes time, so the longer timeout applies.
         self.accepted = true;
-        TrackerAction::Reconnect { request: self.question(now), wait }
+        TrackerAction::Reconnect { request: self.next_request(now), wait }
     }
 
-    fn question(&self, now: TimePoint) -> EntryRequest {
+    fn next_request(&self, now: TimePoint) -> EntryRequest {
         let attempt = self.plan.attempt;
         if self.phase == TrackerPhase::Tombstoning {
-            let age = now.since(self.sent).as_millis();
+            let age = now.since(self.sent_at).as_millis();
             let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
             return EntryRequest::Tombstone { attempt, age_ms };
         }
@@ -254,16 +256,16 @@
     }
 
     fn lost(&self, detail: &str) -> TrackerAction {
-        self.lost_as(CallOutcome::Unknown, detail, None)
+        self.lost_with(CallOutcome::Unknown, detail, None)
     }
 
-    fn lost_as(
+    fn lost_with(
         &self,
         outcome: CallOutcome,
         detail: &str,
         crashed: Option<IncarnationId>,
     ) -> TrackerAction {
-        // Only a refusal proves that nothing ran; whatever else an agent says is not taken for it.
+        // Only a refusal proves that nothing ran; `NotRun` in any other reply is not trusted.
         let outcome = match outcome {
             CallOutcome::Ran => CallOutcome::Ran,
             CallOutcome::NotRun | CallOutcome::Unknown => CallOutcome::Unknown,
--- a/crates/routing/src/choice/affinity.rs
+++ b/crates/routing/src/choice/affinity.rs
@@ -1,14 +1,14 @@
-//! A hash ring over the replicas of one bucket.
+//! Consistent hash ring over the replicas of one bucket.
 //!
-//! Every entry builds the same ring from the same groups, so entries agree on the preferred
-//! replica of a prefix without telling each other.
+//! The ring depends only on the group ids. All entries therefore agree on the preferred replica of
+//! a prefix without exchanging messages.
 
 use briartray_model::names::GroupId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::prefix::PrefixDigest;
 
-/// Points per replica; more spread prefixes more evenly and cost more memory.
+/// Ring points per replica. More points spread prefixes more evenly but use more memory.
 const POINTS_PER_REPLICA: u64 = 32;
 
 /// Ring points in ascending order, each with the slot of its replica.
@@ -18,7 +18,7 @@
 }
 
 impl PrefixRing {
-    /// Builds the ring of `members`, given as group and slot.
+    /// Builds the ring from pairs of group and slot.
     pub(super) fn build(members: impl Iterator<Item = (GroupId, u32)>) -> Self {
         let mut points: Vec<(u64, u32)> = members
             .flat_map(|(group, slot)| {
@@ -30,7 +30,8 @@
         Self { points }
     }
 
-    /// Slots in ring order from `digest` on, each with its distance; a slot may come repeatedly.
+    /// Iterates over the slots in ring order from `digest` on, each with its distance on the ring.
+    /// A slot occurs once for each of its points.
     pub(super) fn walk(&self, digest: PrefixDigest) -> impl Iterator<Item = (u64, u32)> + '_ {
         let start = self.points.partition_point(|(point, _)| *point < digest.0);
         let (head, tail) = self.points.split_at(start);
--- a/crates/routing/src/choice/index.rs
+++ b/crates/routing/src/choice/index.rs
@@ -1,4 +1,4 @@
-//! Candidates of each service, grouped by what rules may prefer.
+//! Candidates of each service, grouped by the properties that routing rules can prefer.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 
 use super::affinity::PrefixRing;
 
-/// Replicas of one service that are alike in provider and in being of the entry's zone.
+/// Replicas of one service with the same provider that are all inside, or all outside, the entry's
+/// zone.
 #[derive(Debug)]
 pub(super) struct CandidateBucket {
     pub(super) provider: ProviderName,
@@ -18,14 +19,14 @@
     pub(super) ring: PrefixRing,
 }
 
-/// Candidates of one service.
+/// Candidate replicas of one service.
 #[derive(Debug, Default)]
 pub(super) struct ServiceIndex {
     pub(super) buckets: Vec<CandidateBucket>,
 }
 
 impl ServiceIndex {
-    /// How far down `route` puts `bucket`; lower goes first.
+    /// Rank of `bucket` under `route`; lower ranks are tried first.
     pub(super) fn rank(&self, bucket: &CandidateBucket, route: &RouteAction) -> usize {
         let wanted = &route.providers;
         let provider =
@@ -34,7 +35,7 @@
         2 * provider + zone
     }
 
-    /// The ranks that occur under `route`, in order.
+    /// Distinct ranks under `route`, in ascending order.
     pub(super) fn ranks(&self, route: &RouteAction) -> Vec<usize> {
         let mut ranks: Vec<usize> =
             self.buckets.iter().map(|bucket| self.rank(bucket, route)).collect();
@@ -44,7 +45,7 @@
     }
 }
 
-/// Every replica of a snapshot, and the candidates of each service by slot.
+/// All replicas of a snapshot, and the candidates of each service by slot.
 #[derive(Debug, Default)]
 pub(super) struct CandidateIndex {
     pub(super) records: Vec<Arc<GroupRecord>>,
--- a/crates/routing/src/choice/mod.rs
+++ b/crates/routing/src/choice/mod.rs
@@ -1,7 +1,7 @@
-//! Choosing the replica that serves a request.
+//! Replica choice, also known as load balancing.
 //!
-//! A [`ReplicaTable`] belongs to one entry. Candidates are indexed when a snapshot is adopted, so
-//! that one choice touches a handful of replicas however many there are.
+//! Each entry has its own [`ReplicaTable`]. Candidates are indexed when a snapshot is adopted, so
+//! that the cost of one choice does not grow with the number of replicas.
 
 mod affinity;
 mod index;
--- a/crates/routing/src/choice/naive.rs
+++ b/crates/routing/src/choice/naive.rs
@@ -1,19 +1,19 @@
-//! Simple ways to choose, which tests and measurements set the real one against.
+//! Simple load balancing policies, used as baselines in tests and measurements.
 
 use rand::RngExt;
 
-/// How a naive choice is made.
+/// Baseline policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NaivePolicy {
-    /// Any replica.
+    /// Uniformly random.
     Random,
-    /// Each replica in turn.
+    /// Round robin.
     RoundRobin,
-    /// The one with the least load by the last report.
+    /// Lowest load in the last report.
     LeastReported,
 }
 
-/// A naive choice among replicas that are known by position.
+/// Baseline balancer over replicas that are identified by position.
 #[derive(Debug, Clone)]
 pub struct NaiveChoice {
     policy: NaivePolicy,
@@ -22,12 +22,12 @@
 }
 
 impl NaiveChoice {
-    /// A choice by `policy` among `count` replicas, in turn from `first` on.
+    /// Creates a balancer over `count` replicas. Round robin starts after `first`.
     pub fn new(policy: NaivePolicy, count: usize, first: usize) -> Self {
         Self { policy, next: first % count, reports: vec![0; count] }
     }
 
-    /// Chooses a replica.
+    /// Returns the position of the chosen replica.
     pub fn choose<R: RngExt>(&mut self, random: &mut R) -> usize {
         let count = self.reports.len();
         match self.policy {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes the reported load of a replica in.
+    /// Stores the reported load of the replica at `position`, in requests.
     pub fn report(&mut self, position: usize, load: u32) {
         self.reports[position] = load;
     }
--- a/crates/routing/src/choice/prefix.rs
+++ b/crates/routing/src/choice/prefix.rs
@@ -1,22 +1,23 @@
-//! Digest of the head of a prompt, which decides where its prefix is likely to be cached.
+//! Digest of the start of a prompt, which predicts the replica that has the prefix cached.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of the prompt that are digested.
+/// Number of leading prompt bytes in the digest.
 ///
-/// Prompts of one template share their head and differ behind it; digesting more would send each
-/// of them elsewhere.
+/// Prompts made from one template share only their start. A longer digest would send each of them
+/// to a different replica.
 const DIGEST_BYTES: usize = 256;
 
-/// Shortest prompt whose cached prefix is worth a preference, in bytes.
+/// Shortest prompt for which prefix affinity is worthwhile, in bytes.
 const MIN_PROMPT_BYTES: usize = 64;
 
-/// Digest of the head of a prompt.
+/// Digest of the start of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PrefixDigest(pub u64);
 
 impl PrefixDigest {
-    /// The digest of `prompt`; `None` when it is too short to matter.
+    /// Computes the digest of `prompt`; `None` if the prompt is too short to benefit from a cached
+    /// prefix.
     pub fn of(prompt: &[u8]) -> Option<Self> {
         if prompt.len() < MIN_PROMPT_BYTES {
             return None;
--- a/crates/routing/src/choice/table.rs
+++ b/crates/routing/src/choice/table.rs
@@ -1,4 +1,4 @@
-//! Replicas with the load that this entry knows, and the choice among them.
+//! Replica table of one entry, with replica choice and load accounting.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,80 +11,80 @@
 
 use super::index::{CandidateIndex, ServiceIndex};
 use super::prefix::PrefixDigest;
-use super::state::{PushCause, ReplicaState};
+use super::state::{BackoffCause, ReplicaState};
 use super::view::ChoiceView;
 
-/// Step time over the median from which a replica counts as a straggler.
-const STRAGGLER_RATIO: f32 = 2.0;
+/// Ratio of step time to the median above which a replica is ejected as too slow.
+const SLOW_STEP_RATIO: f32 = 2.0;
 
-/// Time between two looks at the median step time of a service.
+/// Interval between updates of the median step time of a service.
 const MEDIAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The same while no step time is known yet.
+/// The same while no step time is known.
 const FIRST_MEDIAN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is asked for.
+/// Parameters of one choice.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceRequest<'a> {
-    /// Service that must serve.
+    /// Service to route to.
     pub service: &'a str,
-    /// How rules want the choice made.
+    /// Routing preferences from the rules.
     pub route: &'a RouteAction,
-    /// Head of the prompt, where there is one.
+    /// Digest of the start of the prompt, if there is one.
     pub prefix: Option<PrefixDigest>,
-    /// Groups that were tried before.
+    /// Groups to skip because they were already tried.
     pub excluded: &'a [GroupId],
 }
 
-/// Answer to a choice.
+/// Result of a choice.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChoiceOutcome {
-    /// This replica; the request is counted on it.
+    /// The chosen replica. The request is counted on it until [`ReplicaTable::release`].
     Chosen(Arc<GroupRecord>),
-    /// Replicas serve, and each is full for now.
+    /// Replicas are available, but all of them are full at the moment.
     Full,
-    /// Replicas exist, and none could be reached or was whole; they are left alone for this long.
+    /// All replicas are unreachable or not whole. Holds the time until the first backoff ends.
     Down(Duration),
-    /// No replica is left that could serve.
+    /// No candidate is left.
     Absent,
 }
 
-/// How one attempt ended, as far as the choice is concerned.
+/// How an attempt ended, as far as replica health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptResult {
-    /// A whole answer came.
+    /// The replica sent a complete answer.
     Answered,
-    /// The agent refused, or could not be reached.
+    /// The agent refused the attempt or was unreachable.
     Refused(RefusalReason),
     /// The answer broke off.
     Broken,
-    /// Nothing is known about the replica: the caller went away or time ran out.
+    /// The attempt says nothing about the replica: the caller disconnected or the deadline passed.
     Ended,
 }
 
-/// Sums over one service, kept as reports come so that no choice has to add them up.
+/// Totals of one service, updated with each report so that a choice need not sum over replicas.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServiceTotals {
     replicas: u32,
     capacity: u64,
-    own: u64,
-    others: u64,
-    pub(super) median_step: f32,
+    own_load: u64,
+    other_load: u64,
+    pub(super) median_step_micros: f32,
     median_at: TimePoint,
 }
 
 impl ServiceTotals {
-    pub(super) fn mean_others(&self) -> f32 {
-        self.others as f32 / self.replicas.max(1) as f32
+    pub(super) fn mean_other(&self) -> f32 {
+        self.other_load as f32 / self.replicas.max(1) as f32
     }
 
-    /// Mean share of capacity in use.
-    pub(super) fn mean_share(&self) -> f32 {
-        (self.own + self.others) as f32 / self.capacity.max(1) as f32
+    /// Mean fraction of the capacity in use.
+    pub(super) fn mean_utilization(&self) -> f32 {
+        (self.own_load + self.other_load) as f32 / self.capacity.max(1) as f32
     }
 }
 
-/// Load and health of every replica, as one entry knows them.
+/// Load and health of all replicas as known to one entry.
 #[derive(Debug, Clone)]
 pub struct ReplicaTable {
     zone: ZoneName,
@@ -95,7 +95,7 @@
 }
 
 impl ReplicaTable {
-    /// A table without replicas, for an entry in `zone`.
+    /// Creates an empty table for an entry in `zone`.
     pub fn new(zone: &ZoneName) -> Self {
         Self {
             zone: zone.clone(),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Indexes `snapshot` unless it is the one in use; what is known of its replicas stays.
+    /// Indexes `snapshot` unless it is already in use. The state of replicas that remain is kept.
     pub fn adopt(&mut self, snapshot: &RoutingSnapshot) {
         if snapshot.version == self.version {
             return;
@@ -120,66 +120,70 @@
         self.version = snapshot.version;
         self.index = Arc::new(index);
         self.states = states;
-        self.totals = self.index.services.values().map(|service| self.sum(service)).collect();
+        self.totals =
+            self.index.services.values().map(|service| self.sum_totals(service)).collect();
     }
 
-    /// Slots of whole replicas of `service`, all entries together.
+    /// Total slots of all whole replicas of `service`. Other entries use the same slots.
     pub fn capacity(&self, service: &str) -> u64 {
-        self.service(service).map_or(0, |number| self.totals[number].capacity)
+        self.position(service).map_or(0, |position| self.totals[position].capacity)
     }
 
-    /// Services with at least one replica, with their capacity.
+    /// Services with at least one replica, and the total slots of each.
     pub fn capacities(&self) -> impl Iterator<Item = (&ServiceName, u64)> {
         self.index.services.keys().zip(self.totals.iter().map(|total| total.capacity))
     }
 
     /// Chooses a replica and counts the request on it.
     ///
-    /// Ranks of replicas (provider, zone) are tried in order. Within a rank the replica that a
-    /// prompt's prefix prefers is taken unless it is loaded over the bound, else the less loaded
-    /// of two random ones: sending everyone to the lowest report would pile requests on one
-    /// replica until the next report. A rank whose pick is loaded over the bound spills over.
+    /// Ranks (provider, zone) are tried in order. Within a rank, the replica preferred by the
+    /// prompt's prefix is taken unless its load exceeds the bound. Otherwise the less loaded of two
+    /// random replicas is taken: always using the lowest report would pile up requests on one
+    /// replica until its next report. If the pick is loaded well above the mean, the next rank is
+    /// considered too.
     pub fn choose<R: RngExt>(
         &mut self,
         now: TimePoint,
         request: &ChoiceRequest<'_>,
         random: &mut R,
     ) -> ChoiceOutcome {
-        let Some(number) = self.service(request.service) else { return ChoiceOutcome::Absent };
-        self.refresh_median(now, number);
-        let Some(service) = self.index.services.values().nth(number) else {
+        let Some(position) = self.position(request.service) else { return ChoiceOutcome::Absent };
+        self.refresh_median(now, position);
+        let Some(service) = self.index.services.values().nth(position) else {
             return ChoiceOutcome::Absent;
         };
-        let view = ChoiceView { table: self, service, total: &self.totals[number], now, request };
-        // Slow or failing replicas are better than none.
+        let view = ChoiceView { table: self, service, total: &self.totals[position], now, request };
+        // A slow or failing replica is better than none.
         let picked = view.pick(false, random).or_else(|| view.pick(true, random));
-        let Some(slot) = picked else { return view.none_left() };
-        self.states[slot].own += 1;
-        self.totals[number].own += 1;
+        let Some(slot) = picked else { return view.unavailable_outcome() };
+        self.states[slot].own_load += 1;
+        self.totals[position].own_load += 1;
         ChoiceOutcome::Chosen(Arc::clone(&self.index.records[slot]))
     }
 
-    /// Counts a request on `group` if it is usable and loaded no more than `bound_percent` of the
-    /// mean; for callers that have a reason of their own to prefer it.
+    /// Counts a request on `group` and returns `true` if the replica is usable and either lightly
+    /// used or loaded with at most `bound_percent` of the mean. For callers that choose the replica
+    /// by criteria of their own.
     pub fn claim(&mut self, now: TimePoint, group: GroupId, bound_percent: u32) -> bool {
         let Some(slot) = self.slot(group) else { return false };
         let name = self.index.records[slot].service.clone();
-        let Some(number) = self.service(name.as_str()) else { return false };
+        let Some(position) = self.position(name.as_str()) else { return false };
         let route = RouteAction { load_bound_percent: bound_percent, ..RouteAction::default() };
-        let asked =
+        let request =
             ChoiceRequest { service: name.as_str(), route: &route, prefix: None, excluded: &[] };
-        let Some(service) = self.index.services.values().nth(number) else { return false };
-        let total = &self.totals[number];
-        let view = ChoiceView { table: self, service, total, now, request: &asked };
+        let Some(service) = self.index.services.values().nth(position) else { return false };
+        let total = &self.totals[position];
+        let view = ChoiceView { table: self, service, total, now, request: &request };
         if !view.is_usable(slot, false) || !view.is_under_bound(slot) {
             return false;
         }
-        self.states[slot].own += 1;
-        self.totals[number].own += 1;
+        self.states[slot].own_load += 1;
+        self.totals[position].own_load += 1;
         true
     }
 
-    /// Counts a request off its replica, with what was learnt there.
+    /// Releases a request from its replica and records the result and the load report. Does nothing
+    /// if the replica is no longer in the table.
     pub fn release<R: RngExt>(
         &mut self,
         now: TimePoint,
@@ -189,83 +193,86 @@
         random: &mut R,
     ) {
         let Some(slot) = self.slot(group) else { return };
-        let number = self.service(self.index.records[slot].service.as_str());
-        let mut loose = ServiceTotals::default();
-        let total = number.map_or(&mut loose, |number| &mut self.totals[number]);
+        let position = self.position(self.index.records[slot].service.as_str());
+        let mut unused = ServiceTotals::default();
+        let total = position.map_or(&mut unused, |position| &mut self.totals[position]);
         let state = &mut self.states[slot];
-        if state.own > 0 {
-            state.own -= 1;
-            total.own = total.own.saturating_sub(1);
+        if state.own_load > 0 {
+            state.own_load -= 1;
+            total.own_load = total.own_load.saturating_sub(1);
         }
         if let Some(report) = report {
-            let before = u64::from(state.others);
-            state.report(now, report);
-            total.others = (total.others + u64::from(state.others)).saturating_sub(before);
+            let before = u64::from(state.other_load);
+            state.record_report(now, report);
+            total.other_load =
+                (total.other_load + u64::from(state.other_load)).saturating_sub(before);
         }
         match result {
-            AttemptResult::Answered => state.succeed(),
+            AttemptResult::Answered => state.record_success(),
             AttemptResult::Refused(RefusalReason::QueueFull) => {
-                state.push_back(now, PushCause::Full, random.random());
+                state.back_off(now, BackoffCause::Full, random.random());
             }
-            // The request itself was at fault, not the replica.
+            // The request caused the refusal, not the replica.
             AttemptResult::Refused(RefusalReason::DeadlinePassed | RefusalReason::Tombstoned) => {}
-            AttemptResult::Refused(_) => state.push_back(now, PushCause::Down, random.random()),
-            AttemptResult::Broken => state.fail(),
+            AttemptResult::Refused(_) => state.back_off(now, BackoffCause::Down, random.random()),
+            AttemptResult::Broken => state.record_failure(),
             AttemptResult::Ended => return,
         }
-        state.judge(now, STRAGGLER_RATIO * total.median_step, random.random());
+        state.update_ejection(now, SLOW_STEP_RATIO * total.median_step_micros, random.random());
     }
 
     /// Requests of this entry in flight on `group`.
     pub fn own_load(&self, group: GroupId) -> u32 {
-        self.slot(group).map_or(0, |slot| self.states[slot].own)
+        self.slot(group).map_or(0, |slot| self.states[slot].own_load)
     }
 
-    /// Whether `group` is eased out as a straggler.
-    pub fn is_straggler(&self, group: GroupId) -> bool {
-        self.slot(group).is_some_and(|slot| self.states[slot].is_eased())
+    /// Whether `group` is ejected because it is slow or fails too often.
+    pub fn is_ejected(&self, group: GroupId) -> bool {
+        self.slot(group).is_some_and(|slot| self.states[slot].is_ejected())
     }
 
     fn slot(&self, group: GroupId) -> Option<usize> {
         self.index.records.binary_search_by_key(&group, |record| record.group).ok()
     }
 
-    fn service(&self, name: &str) -> Option<usize> {
+    fn position(&self, name: &str) -> Option<usize> {
         self.index.services.keys().position(|service| service.as_str() == name)
     }
 
-    fn sum(&self, service: &ServiceIndex) -> ServiceTotals {
+    fn sum_totals(&self, service: &ServiceIndex) -> ServiceTotals {
         let mut total = ServiceTotals::default();
         for slot in service.buckets.iter().flat_map(|bucket| &bucket.slots) {
             let state = &self.states[*slot as usize];
             total.replicas += 1;
             total.capacity += u64::from(self.index.records[*slot as usize].capacity);
-            total.own += u64::from(state.own);
-            total.others += u64::from(state.others);
+            total.own_load += u64::from(state.own_load);
+            total.other_load += u64::from(state.other_load);
         }
         total
     }
 
-    /// Takes the median of the known step times, at most once per interval.
-    fn refresh_median(&mut self, now: TimePoint, number: usize) {
-        let total = &mut self.totals[number];
-        let known = total.median_step > 0.0;
+    /// Updates the median of the known step times, at most once per interval.
+    fn refresh_median(&mut self, now: TimePoint, position: usize) {
+        let total = &mut self.totals[position];
+        let known = total.median_step_micros > 0.0;
         let interval = if known { MEDIAN_INTERVAL } else { FIRST_MEDIAN_INTERVAL };
         if now.since(total.median_at) < interval {
             return;
         }
         total.median_at = now;
-        let Some(service) = self.index.services.values().nth(number) else { return };
+        let Some(service) = self.index.services.values().nth(position) else { return };
         let slots = || service.buckets.iter().flat_map(|bucket| &bucket.slots).map(|s| *s as usize);
-        let mut steps: Vec<f32> =
-            slots().map(|slot| self.states[slot].step).filter(|step| *step > 0.0).collect();
+        let mut steps: Vec<f32> = slots()
+            .map(|slot| self.states[slot].mean_step_micros)
+            .filter(|step| *step > 0.0)
+            .collect();
         if steps.is_empty() {
             return;
         }
         let middle = (steps.len() - 1) / 2;
-        total.median_step = *steps.select_nth_unstable_by(middle, f32::total_cmp).1;
+        total.median_step_micros = *steps.select_nth_unstable_by(middle, f32::total_cmp).1;
         for slot in slots() {
-            self.states[slot].notice(now, STRAGGLER_RATIO * total.median_step);
+            self.states[slot].eject_if_slow(now, SLOW_STEP_RATIO * total.median_step_micros);
         }
     }
 }
--- a/crates/routing/src/choice/view.rs
+++ b/crates/routing/src/choice/view.rs
@@ -1,4 +1,4 @@
-//! One choice: which replicas are looked at, and which of them is taken.
+//! A single choice: which replicas are examined, and which one is taken.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use super::index::{CandidateBucket, ServiceIndex};
 use super::table::{ChoiceOutcome, ChoiceRequest, ReplicaTable, ServiceTotals};
 
-/// Random candidates that are compared.
-const CHOICES: usize = 2;
+/// Number of random candidates to compare (the power of two choices).
+const SAMPLE_SIZE: usize = 2;
 
-/// Draws before every candidate is looked at in turn.
+/// Random draws before all candidates are scanned in order.
 const MAX_DRAWS: usize = 12;
 
-/// Replicas looked at along the ring before load alone decides.
+/// Number of replicas examined along the ring before the choice is made by load alone.
 const MAX_RING_STEPS: usize = 4;
 
-/// Ring points looked at for that; each replica has many.
+/// Number of ring points examined to find these replicas; each replica has many points.
 const MAX_RING_POINTS: usize = 64;
 
-/// Replicas of the own zone from which on prefixes are kept inside it.
+/// Number of local replicas from which prefixes are kept inside the zone.
 const MIN_RING_REPLICAS: usize = 48;
 
-/// Load over the mean from which a replica of a lower rank may be taken instead.
-const SPILL_OVER: f32 = 1.1;
+/// Ratio of the load to the mean above which a replica of a lower rank may be taken instead.
+const SPILLOVER_RATIO: f32 = 1.1;
 
-/// Share of its capacity below which a preferred replica is never passed over.
-const EASY_SHARE: f32 = 0.25;
+/// Utilization below which a preferred replica is always taken.
+const LIGHT_UTILIZATION: f32 = 0.25;
 
-/// One choice among the replicas of one service.
+/// A single choice among the replicas of one service.
 pub(super) struct ChoiceView<'a> {
     pub(super) table: &'a ReplicaTable,
     pub(super) service: &'a ServiceIndex,
@@ -40,13 +40,13 @@
 }
 
 impl ChoiceView<'_> {
-    pub(super) fn pick<R: RngExt>(&self, eased: bool, random: &mut R) -> Option<usize> {
+    pub(super) fn pick<R: RngExt>(&self, with_ejected: bool, random: &mut R) -> Option<usize> {
         let mut best: Option<usize> = None;
         for rank in self.service.ranks(self.request.route) {
-            if let Some(slot) = self.preferred(self.ring_ranks(rank), eased) {
+            if let Some(slot) = self.pick_preferred(self.ring_ranks(rank), with_ejected) {
                 return Some(slot);
             }
-            let Some(slot) = self.sampled(rank, eased, random) else { continue };
+            let Some(slot) = self.pick_sampled(rank, with_ejected, random) else { continue };
             if self.is_near_mean(slot) {
                 return Some(slot);
             }
@@ -57,46 +57,52 @@
         best
     }
 
-    /// Ranks over whose replicas prefixes are spread: those of the own zone alone when it has many,
-    /// else those of the other zones as well. A few replicas hold few prefixes, and reading a
-    /// prompt anew takes longer than the way to another zone.
+    /// Ranks over which prefixes are spread: only the entry's own zone if it has enough replicas,
+    /// otherwise other zones as well. Few replicas can cache only few prefixes, and processing a
+    /// prompt again takes longer than the round trip to another zone.
     fn ring_ranks(&self, rank: usize) -> RangeInclusive<usize> {
         let own_zone = self.request.route.same_zone_first && rank.is_multiple_of(2);
         let count: usize = self.buckets(rank..=rank).map(|bucket| bucket.slots.len()).sum();
         if own_zone && count < MIN_RING_REPLICAS { rank..=rank + 1 } else { rank..=rank }
     }
 
-    /// The replica that the prompt's prefix prefers, or the next on the ring that has room.
-    fn preferred(&self, ranks: RangeInclusive<usize>, eased: bool) -> Option<usize> {
+    /// Returns the replica preferred by the prompt's prefix, or the next one on the ring that has
+    /// room.
+    fn pick_preferred(&self, ranks: RangeInclusive<usize>, with_ejected: bool) -> Option<usize> {
         if !self.request.route.prefix_affinity {
             return None;
         }
         let digest = self.request.prefix?;
         let buckets = self.buckets(ranks);
-        let mut passed: Vec<(u64, u32)> = Vec::with_capacity(MAX_RING_STEPS);
+        let mut candidates: Vec<(u64, u32)> = Vec::with_capacity(MAX_RING_STEPS);
         for bucket in buckets {
-            let mut seen = 0;
+            let mut added = 0;
             for (distance, slot) in bucket.ring.walk(digest).take(MAX_RING_POINTS) {
-                if passed.iter().any(|(_, known)| *known == slot) {
+                if candidates.iter().any(|(_, known)| *known == slot) {
                     continue;
                 }
-                passed.push((distance, slot));
-                seen += 1;
-                if seen == MAX_RING_STEPS {
+                candidates.push((distance, slot));
+                added += 1;
+                if added == MAX_RING_STEPS {
                     break;
                 }
             }
         }
-        passed.sort_unstable();
-        passed
+        candidates.sort_unstable();
+        candidates
             .iter()
             .take(MAX_RING_STEPS)
             .map(|(_, slot)| *slot as usize)
-            .find(|slot| self.is_usable(*slot, eased) && self.is_under_bound(*slot))
+            .find(|slot| self.is_usable(*slot, with_ejected) && self.is_under_bound(*slot))
     }
 
-    /// The less loaded of two random replicas of `rank`.
-    fn sampled<R: RngExt>(&self, rank: usize, eased: bool, random: &mut R) -> Option<usize> {
+    /// Returns the less loaded of two random replicas of `rank`.
+    fn pick_sampled<R: RngExt>(
+        &self,
+        rank: usize,
+        with_ejected: bool,
+        random: &mut R,
+    ) -> Option<usize> {
         let count: usize = self.buckets(rank..=rank).map(|bucket| bucket.slots.len()).sum();
         if count == 0 {
             return None;
@@ -104,28 +110,29 @@
         let mut best: Option<usize> = None;
         let mut found = 0;
         for _ in 0..MAX_DRAWS {
-            let slot = self.nth(rank, random.random_range(0..count));
-            if !self.is_usable(slot, eased) || best == Some(slot) {
+            let slot = self.nth_slot(rank, random.random_range(0..count));
+            if !self.is_usable(slot, with_ejected) || best == Some(slot) {
                 continue;
             }
-            if !eased && self.table.states[slot].is_eased() {
-                // Its trial is due. By its score it would never win, and so never come back.
+            if !with_ejected && self.table.states[slot].is_ejected() {
+                // The replica is due for a probe. Its score is too poor to win the comparison, so
+                // it would never be readmitted.
                 return Some(slot);
             }
             if best.is_none_or(|other| self.score(slot) < self.score(other)) {
                 best = Some(slot);
             }
             found += 1;
-            if found == CHOICES {
+            if found == SAMPLE_SIZE {
                 break;
             }
         }
-        // Most replicas are unusable: start anywhere and take the first that is not.
+        // Most replicas are unusable: scan from a random position and take the first usable one.
         best.or_else(|| {
             let start = random.random_range(0..count);
             (0..count)
-                .map(|step| self.nth(rank, (start + step) % count))
-                .find(|slot| self.is_usable(*slot, eased))
+                .map(|offset| self.nth_slot(rank, (start + offset) % count))
+                .find(|slot| self.is_usable(*slot, with_ejected))
         })
     }
 
@@ -135,52 +142,55 @@
         buckets.filter(move |bucket| ranks.contains(&self.service.rank(bucket, route)))
     }
 
-    fn nth(&self, rank: usize, mut position: usize) -> usize {
+    fn nth_slot(&self, rank: usize, mut position: usize) -> usize {
         for bucket in self.buckets(rank..=rank) {
             if position < bucket.slots.len() {
                 return bucket.slots[position] as usize;
             }
             position -= bucket.slots.len();
         }
-        unreachable!("the position is below the number of candidates")
+        unreachable!("position is less than the number of candidates")
     }
 
-    /// Whether the replica may be asked; stragglers that are not due count only with `eased`.
-    pub(super) fn is_usable(&self, slot: usize, eased: bool) -> bool {
+    /// Whether the replica may get a request. Ejected replicas that are not due for a probe are
+    /// usable only if `with_ejected` is set.
+    pub(super) fn is_usable(&self, slot: usize, with_ejected: bool) -> bool {
         let (state, record) = (&self.table.states[slot], &self.table.index.records[slot]);
-        self.now >= state.pushed_until()
+        self.now >= state.backoff_until()
             && !state.is_full(self.now, record.capacity)
-            && (eased || !state.is_held_back(self.now))
+            && (with_ejected || !state.awaits_probe(self.now))
             && !self.request.excluded.contains(&record.group)
     }
 
-    /// Share of its capacity in use once this request is on it.
-    fn share(&self, slot: usize) -> f32 {
-        let load = self.table.states[slot].load(self.now, self.total.mean_others());
+    /// Utilization of the replica including this request.
+    fn utilization(&self, slot: usize) -> f32 {
+        let load = self.table.states[slot].load(self.now, self.total.mean_other());
         (load + 1.0) / self.table.index.records[slot].capacity.max(1) as f32
     }
 
-    /// Whether the replica carries little, or no more than the bound over the mean.
+    /// Whether the replica is lightly used or its utilization is within the route's bound over the
+    /// mean.
     pub(super) fn is_under_bound(&self, slot: usize) -> bool {
-        let share = self.share(slot);
+        let utilization = self.utilization(slot);
         let bound = self.request.route.load_bound_percent as f32 / 100.0;
-        share <= EASY_SHARE || share <= bound * self.total.mean_share()
+        utilization <= LIGHT_UTILIZATION || utilization <= bound * self.total.mean_utilization()
     }
 
-    /// Whether the replica carries little, or hardly more than the mean; otherwise a replica of a
-    /// lower rank is looked at as well.
+    /// Whether the replica is lightly used or close to the mean. If not, replicas of a lower rank
+    /// are considered too.
     fn is_near_mean(&self, slot: usize) -> bool {
-        let share = self.share(slot);
-        share <= EASY_SHARE || share <= SPILL_OVER * self.total.mean_share()
+        let utilization = self.utilization(slot);
+        utilization <= LIGHT_UTILIZATION
+            || utilization <= SPILLOVER_RATIO * self.total.mean_utilization()
     }
 
-    /// Load weighted by how slow the replica is against the median; lower is better.
+    /// Utilization multiplied by the slowdown relative to the median; lower is better.
     fn score(&self, slot: usize) -> f32 {
-        let slowness = self.table.states[slot].slowness(self.now, self.total.median_step);
-        self.share(slot) * slowness
+        let slowdown = self.table.states[slot].slowdown(self.now, self.total.median_step_micros);
+        self.utilization(slot) * slowdown
     }
 
-    pub(super) fn none_left(&self) -> ChoiceOutcome {
+    pub(super) fn unavailable_outcome(&self) -> ChoiceOutcome {
         let mut earliest: Option<Duration> = None;
         for slot in self.service.buckets.iter().flat_map(|bucket| &bucket.slots) {
             let slot = *slot as usize;
@@ -191,8 +201,8 @@
             if !state.is_down(self.now) {
                 return ChoiceOutcome::Full;
             }
-            let left = state.pushed_until().since(self.now);
-            earliest = Some(earliest.map_or(left, |other| other.min(left)));
+            let remaining = state.backoff_until().since(self.now);
+            earliest = Some(earliest.map_or(remaining, |other| other.min(remaining)));
         }
         earliest.map_or(ChoiceOutcome::Absent, ChoiceOutcome::Down)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decisions about requests, as plain structs: who is let in, which replica serves, whether an
-//! attempt is repeated, and what became of each attempt.
+//! Per-request decisions of an entry, without I/O: admission, replica choice, retries, and tracking
+//! of the outcome of each attempt.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/routing/src/retry/mod.rs
+++ b/crates/routing/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt that gave no answer is followed by another one.
+//! Retry policy: whether an attempt without an answer is followed by another one.
 
 mod budget;
 mod policy;
--- a/crates/routing/src/retry/policy.rs
+++ b/crates/routing/src/retry/policy.rs
@@ -1,4 +1,4 @@
-//! The decision itself.
+//! Retry decision for one attempt.
 
 use std::time::Duration;
 
@@ -8,69 +8,70 @@
 
 use super::RetryBudget;
 
-/// Longest wait before a retry.
+/// Maximum delay before a retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Time that must be left behind the wait for a retry to make sense.
-const MIN_LEFT: Duration = Duration::from_millis(5);
+/// Minimum time that must remain after the delay for a retry to make sense.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// What is known about an attempt that gave no whole answer.
+/// What is known about an attempt without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEffect {
-    /// It was not run and never will be, because the replica had no room.
+    /// The attempt was not run and never will be, because the replica was full.
     Bounced,
-    /// It was not run and never will be.
+    /// The attempt was not run and never will be.
     NotRun,
-    /// It may have run.
+    /// The attempt may have run.
     Unknown,
 }
 
-/// What has happened to a request so far.
+/// History of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Attempts made, bounces not counted.
+    /// Number of attempts, without refusals by full replicas.
     pub attempts: u32,
-    /// Bounces off full replicas.
+    /// Number of refusals by full replicas.
     pub bounces: u32,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run twice.
     pub repeatable: bool,
-    /// Whether the caller has seen any part of an answer.
+    /// Whether the caller has received any part of an answer.
     pub seen: bool,
 }
 
 /// Why there is no further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// It may have run, and running it twice might do harm or show.
+    /// The attempt may have run, and a second run could do harm or be visible to the caller.
     Unsafe,
-    /// As many attempts were made as the rule allows.
+    /// The rule allows no more attempts.
     Attempts,
-    /// Retries have used up their share of traffic.
+    /// The retry budget is used up.
     Budget,
-    /// No time is left.
+    /// Too little time is left before the deadline.
     Deadline,
-    /// It was at several crashes: another replica would most likely crash as well.
+    /// The request ran during several crashes: the next replica would probably crash too.
     Suspect,
 }
 
 /// Whether there is a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another replica is asked after this wait.
+    /// Try another replica after this delay.
     Retry(Duration),
-    /// The request goes back to its queue: replicas are full.
+    /// Return the request to its queue because the replicas are full.
     Requeue,
-    /// It is over.
+    /// Make no further attempt.
     Stop(StopReason),
 }
 
-/// Bounces off full replicas before a request waits in the queue again.
-const MAX_BOUNCES: u32 = 3;
+/// Refusals by full replicas after which the request returns to the queue.
+const MAX_FULL_REFUSALS: u32 = 3;
 
-/// Decides on a further attempt after one that ended with `effect`.
+/// Decides whether an attempt that ended with `effect` is followed by another one.
 ///
-/// A bounce costs the replica nothing, so it draws on no budget; after a few of them the fleet is
-/// taken to be full. All other retries draw on `budget`.
+/// A refusal by a full replica costs that replica nothing and is not charged to `budget`. After
+/// several such refusals, all replicas are assumed to be full. All other retries are charged to
+/// `budget`.
 pub fn decide_retry<R: RngExt>(
     now: TimePoint,
     deadline: TimePoint,
@@ -84,18 +85,22 @@
         return RetryDecision::Stop(StopReason::Unsafe);
     }
     let left = deadline.since(now);
-    if left < MIN_LEFT {
+    if left < MIN_TIME_LEFT {
         return RetryDecision::Stop(StopReason::Deadline);
     }
     if effect == AttemptEffect::Bounced {
-        let again = history.bounces < MAX_BOUNCES;
-        return if again { RetryDecision::Retry(Duration::ZERO) } else { RetryDecision::Requeue };
+        let below_limit = history.bounces < MAX_FULL_REFUSALS;
+        return if below_limit {
+            RetryDecision::Retry(Duration::ZERO)
+        } else {
+            RetryDecision::Requeue
+        };
     }
     if history.attempts >= action.attempts.max(1) {
         return RetryDecision::Stop(StopReason::Attempts);
     }
     let wait = backoff(history.attempts, action, random);
-    if left < wait + MIN_LEFT {
+    if left < wait + MIN_TIME_LEFT {
         return RetryDecision::Stop(StopReason::Deadline);
     }
     if !budget.withdraw() {
@@ -104,8 +109,8 @@
     RetryDecision::Retry(wait)
 }
 
-/// The wait doubles with each attempt; half of it is random, so that many entries that met the
-/// same failure do not come back at the same moment.
+/// Exponential backoff. Half of the delay is random, so that entries that saw the same failure do
+/// not all retry at the same moment.
 fn backoff<R: RngExt>(attempts: u32, action: &RetryAction, random: &mut R) -> Duration {
     let base = Duration::from_millis(u64::from(action.backoff_ms));
     let doubled = base.saturating_mul(1 << attempts.saturating_sub(1).min(10));
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission under overload, lost capacity and limits.
+//! Admission under overload, loss of capacity and limits.
 
 mod model;
 
@@ -44,13 +44,14 @@
     TimePoint(millis * 1000)
 }
 
-/// A queue with one slot that is known to take a second per request, and the slot taken.
+/// Returns a queue with a single slot, a known service time of one second and a request that
+/// occupies the slot.
 fn busy_queue() -> (AdmissionQueue, TicketNumber) {
     let mut queue = queue(1);
-    let first = offer(&mut queue, at(0), "a", &AdmitAction::default()).expect("there is room");
+    let first = offer(&mut queue, at(0), "a", &AdmitAction::default()).expect("a slot is free");
     queue.step(at(0));
     queue.finish(at(1000), first, true);
-    let holder = offer(&mut queue, at(1000), "a", &AdmitAction::default()).expect("there is room");
+    let holder = offer(&mut queue, at(1000), "a", &AdmitAction::default()).expect("a slot is free");
     queue.step(at(1000));
     (queue, holder)
 }
@@ -61,9 +62,9 @@
 }
 
 #[test]
-fn late_request_is_refused_at_once_and_fits_when_told_to_come_back() {
-    // The queue is longer than the caller's deadline allows. The caller learns that at once, and
-    // the time it is told is one after which there is room for it.
+fn late_request_is_refused_at_once_and_admitted_after_the_retry_time() {
+    // The queue is longer than the caller's deadline allows. The request must be refused at once,
+    // with a retry time after which there is room for it.
     let (mut queue, mut holder) = busy_queue();
     let action = AdmitAction { deadline_ms: 5000, ..AdmitAction::default() };
     let mut now = at(1000);
@@ -87,11 +88,11 @@
 }
 
 #[test]
-fn waiting_requests_are_given_up_when_replicas_go() {
-    // Every replica of the service dies while requests wait. Their callers hear of it with the
+fn waiting_requests_are_refused_when_replicas_fail() {
+    // All replicas of the service fail while requests wait. The requests must be refused in the
     // next step and not at their deadline two minutes later.
     let (mut queue, _) = busy_queue();
-    offer(&mut queue, at(1000), "a", &AdmitAction::default()).expect("it may wait");
+    offer(&mut queue, at(1000), "a", &AdmitAction::default()).expect("the request may wait");
     queue.set_capacity(&desk(), 0);
 
     let outputs = queue.step(at(1060));
@@ -105,15 +106,19 @@
 }
 
 #[test]
-fn waiting_request_that_cannot_make_it_is_given_up_before_its_deadline() {
-    // A request was let in when two slots took a second each; then one slot is stuck.
+fn waiting_request_that_would_be_late_is_refused_before_its_deadline() {
+    // The request was admitted when the service took a second for each request; then the slot is
+    // never released.
     let (mut queue, _) = busy_queue();
     let action = AdmitAction { deadline_ms: 2500, ..AdmitAction::default() };
-    offer(&mut queue, at(1000), "a", &action).expect("one is before it");
+    offer(&mut queue, at(1000), "a", &action).expect("only one request is ahead");
 
-    let given_up = (1000..4000).step_by(50).find(|millis| !queue.step(at(*millis)).is_empty());
+    let refused_at = (1000..4000).step_by(50).find(|millis| !queue.step(at(*millis)).is_empty());
 
-    assert!(given_up.is_some_and(|millis| millis < 3500), "deadline 3500, {given_up:?}");
+    assert!(
+        refused_at.is_some_and(|millis| millis < 3500),
+        "deadline 3500 ms, refused at {refused_at:?}"
+    );
 }
 
 #[test]
@@ -121,7 +126,7 @@
     let (mut queue, _) = busy_queue();
     let action = AdmitAction { queue: 4, ..AdmitAction::default() };
     for _ in 0..4 {
-        offer(&mut queue, at(1000), "a", &action).expect("it may wait");
+        offer(&mut queue, at(1000), "a", &action).expect("the request may wait");
     }
 
     let refusal = offer(&mut queue, at(1000), "a", &action).expect_err("the queue is full");
@@ -132,12 +137,12 @@
 
 #[test]
 fn large_team_cannot_fill_the_entry() {
-    // One team opens as many requests as the entry can hold. The newest of them make room when
-    // another team comes, and are told so at once.
+    // One team opens as many requests as the entry can hold. When another team arrives, the newest
+    // request of the first team must be refused at once to make room.
     let mut queue = AdmissionQueue::new(20);
     queue.set_capacity(&desk(), 1);
     for _ in 0..20 {
-        offer(&mut queue, at(0), "large", &AdmitAction::default()).expect("it may wait");
+        offer(&mut queue, at(0), "large", &AdmitAction::default()).expect("the request may wait");
         queue.step(at(0));
     }
 
@@ -154,13 +159,14 @@
 
 #[test]
 fn requeued_request_keeps_its_place() {
-    // Every replica turned out to be full. The request goes back in front of those that came
-    // later, and does not go round at once.
+    // All replicas turned out to be full. The requeued request must stay ahead of later ones, and
+    // must not be dispatched again at once.
     let mut queue = queue(2);
-    let first = offer(&mut queue, at(0), "a", &AdmitAction::default()).expect("room");
-    let second = offer(&mut queue, at(0), "a", &AdmitAction::default()).expect("room");
+    let first = offer(&mut queue, at(0), "a", &AdmitAction::default()).expect("a slot is free");
+    let second = offer(&mut queue, at(0), "a", &AdmitAction::default()).expect("a slot is free");
     queue.step(at(0));
-    let third = offer(&mut queue, at(1), "a", &AdmitAction::default()).expect("it may wait");
+    let third =
+        offer(&mut queue, at(1), "a", &AdmitAction::default()).expect("the request may wait");
 
     queue.requeue(at(2), first);
     let at_once = runs(&mut queue, at(2));
@@ -172,15 +178,15 @@
 }
 
 #[test]
-fn priority_goes_first_and_low_priority_is_not_stuck() {
+fn high_priority_goes_first_and_low_priority_does_not_starve() {
     let high = AdmitAction { priority: 200, ..AdmitAction::default() };
     let low = AdmitAction { priority: 10, ..AdmitAction::default() };
     let mut queue = queue(1);
     let mut served = [0_u32; 2];
     let mut low_tickets = Vec::new();
     for _ in 0..100 {
-        offer(&mut queue, at(0), "traders", &high).expect("it may wait");
-        low_tickets.push(offer(&mut queue, at(0), "office", &low).expect("it may wait"));
+        offer(&mut queue, at(0), "traders", &high).expect("the request may wait");
+        low_tickets.push(offer(&mut queue, at(0), "office", &low).expect("the request may wait"));
     }
 
     for round in 0..80 {
@@ -194,8 +200,8 @@
 
 #[test]
 fn limits_are_never_exceeded() {
-    // Random offers, endings and pauses against a count kept by hand: neither more in flight than
-    // the limit, nor more starts in any second than the rate allows besides its burst.
+    // Checks random arrivals, completions and pauses against a separate count: no more requests in
+    // flight than the limit, and no more starts in any second than the rate and its burst allow.
     let key = LimitKey { rule: RuleName::new("office"), team: TeamName::new("office") };
     let (service, team) = (desk(), TeamName::new("office"));
     let action = AdmitAction { queue: 10_000, ..AdmitAction::default() };
@@ -218,7 +224,7 @@
                 limit,
                 deadline,
             };
-            queue.offer(now, &request).expect("it may wait");
+            queue.offer(now, &request).expect("the request may wait");
         }
         for ticket in runs(&mut queue, now) {
             running.push(ticket);
@@ -235,10 +241,10 @@
         .map(|first| starts[first..].iter().take_while(|at| **at < starts[first] + 1000).count())
         .max();
     assert!(busiest <= Some(50 + 25 + 1), "{busiest:?} starts in one second");
-    assert!(starts.len() > 900, "{} starts in 20 s at 50 a second", starts.len());
+    assert!(starts.len() > 900, "{} starts in 20 s at 50 per second", starts.len());
 }
 
-/// A large team that asks for `times` the capacity beside a small one that asks for a tenth.
+/// A large team that demands `times` the capacity, and a small team that demands a tenth of it.
 fn two_teams(times: f64) -> LoadPlan {
     LoadPlan {
         slots: 20,
@@ -253,16 +259,16 @@
 }
 
 #[test]
-fn useful_answers_do_not_fall_as_load_rises() {
-    // Callers send four times what the replicas can do. Without admission everything waits in one
-    // line, is late, and is thrown away by callers who have gone; replicas work for nobody.
+fn goodput_does_not_fall_as_load_rises() {
+    // Callers send four times the capacity. Without admission control, all requests wait in one
+    // queue until their callers have given up, and replicas work on answers that nobody reads.
     let useful: Vec<f64> = [1.0, 1.5, 2.0, 4.0]
         .iter()
         .map(|times| run_admitted(&two_teams(*times), 1).iter().map(|team| team.useful).sum())
         .collect();
     let naive: f64 = run_unlimited(&two_teams(4.0), 1).iter().map(|team| team.useful).sum();
 
-    assert!(useful.iter().all(|rate| *rate >= 45.0), "capacity 50 a second: {useful:?}");
+    assert!(useful.iter().all(|rate| *rate >= 45.0), "capacity 50 per second: {useful:?}");
     assert!(naive < 10.0, "{naive}");
 }
 
@@ -287,8 +293,7 @@
     assert!((2.7..3.3).contains(&ratio), "{teams:?}");
 }
 
-/// What each team gets of `amount` when it is shared exactly by weight and nobody gets more than it
-/// asks for.
+/// Exact shares of `amount` by weight, where no team gets more than it demands.
 fn exact_shares(teams: &[TeamLoad], amount: f64) -> Vec<f64> {
     let mut shares = vec![0.0; teams.len()];
     let mut open: Vec<usize> = (0..teams.len()).collect();
@@ -312,9 +317,9 @@
 }
 
 #[test]
-fn every_team_gets_its_exact_share_or_nearly() {
-    // Eight teams of any size and weight ask for more than there is. Whoever asks for less than its
-    // share must get all of it, and the rest goes to the others by weight.
+fn every_team_gets_nearly_its_exact_share() {
+    // Eight teams of random size and weight demand more than the capacity. A team that demands less
+    // than its share must get all of its demand; the others split the rest by weight.
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     for seed in 0..5 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -334,9 +339,9 @@
         let exact = exact_shares(&plan.teams, served);
         for (result, exact) in results.iter().zip(&exact) {
             let error = (result.useful - exact).abs() / exact;
-            assert!(error < 0.15, "seed {seed}: {} a second for {exact}", result.useful);
+            assert!(error < 0.15, "seed {seed}: {} per second, expected {exact}", result.useful);
         }
-        assert!(served >= 90.0, "capacity 100 a second: {served}");
+        assert!(served >= 90.0, "capacity 100 per second: {served}");
     }
 }
 
@@ -345,5 +350,5 @@
     let teams = run_admitted(&two_teams(4.0), 4);
 
     assert!(teams[0].refused_at_once >= 0.9 * teams[0].refused, "{teams:?}");
-    assert_eq!(teams[0].late, 0.0, "nothing that was let in ends late: {teams:?}");
+    assert_eq!(teams[0].late, 0.0, "no admitted request ends late: {teams:?}");
 }
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts over a path that loses, doubles, delays and breaks.
+//! Attempts over a connection that drops, duplicates and delays frames, and breaks.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use briartray_model::names::AttemptId;
 use briartray_routing::attempt::{
     AnswerBuffer, AnswerEnd, AnswerHead, AttemptBook, AttemptTracker, BeginDecision, BookLimits,
-    BufferItem, BufferReader, SILENCE_BOUND, TOMBSTONE_MEMORY, TrackerAction, TrackerPlan,
+    BufferItem, BufferReader, FRAME_TIMEOUT, TOMBSTONE_RETENTION, TrackerAction, TrackerPlan,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -41,65 +41,66 @@
 }
 
 #[test]
-fn late_dispatch_finds_its_tombstone() {
-    // The dispatch is held up on a dead connection while the caller is told that it was not run.
-    // If it ran when it came at last, the caller would send a confirmation twice.
+fn late_dispatch_is_stopped_by_its_tombstone() {
+    // The dispatch is delayed on a dead connection while the caller is told that it was not run. If
+    // it ran on arrival, the caller's retry would send a confirmation twice.
     let mut book = AttemptBook::new(BookLimits::default());
 
-    let told = book.tombstone(seconds(1), ATTEMPT, FRESH);
+    let reply = book.tombstone(seconds(1), ATTEMPT, FRESH);
     let late = book.begin(seconds(50), ATTEMPT, FRESH);
 
-    assert_eq!(told, TombstoneState::NeverRuns);
+    assert_eq!(reply, TombstoneState::NeverRuns);
     assert_eq!(late, BeginDecision::Tombstoned);
 }
 
 #[test]
 fn dispatch_that_outlives_its_tombstone_is_too_old() {
-    // The dispatch was on its way for longer than tombstones are remembered. The book no longer
-    // knows the attempt; what still stops it is that the path cannot prove it fresh.
+    // The dispatch was in transit for longer than tombstones are remembered, so the book no longer
+    // knows the attempt. It must be refused because the link cannot prove that it is recent.
     let mut book = AttemptBook::new(BookLimits::default());
     book.tombstone(seconds(1), ATTEMPT, FRESH);
-    let after = seconds(1).after(TOMBSTONE_MEMORY).after(Duration::from_secs(1));
+    let after = seconds(1).after(TOMBSTONE_RETENTION).after(Duration::from_secs(1));
 
-    let late = book.begin(after, ATTEMPT, TOMBSTONE_MEMORY);
+    let late = book.begin(after, ATTEMPT, TOMBSTONE_RETENTION);
 
     assert_eq!(late, BeginDecision::TooOld);
 }
 
 #[test]
-fn question_about_forgotten_attempt_gets_no_promise() {
-    // An entry slept for minutes and asks after an attempt that ran and was forgotten. To answer
-    // that it never runs would make the caller run it again.
+fn tombstone_request_for_forgotten_attempt_gets_no_definite_answer() {
+    // An entry was suspended for minutes and asks about an attempt that ran and has been forgotten.
+    // If the answer were that it never runs, the caller would run it a second time.
     let mut book = AttemptBook::new(BookLimits::default());
     book.begin(seconds(1), ATTEMPT, FRESH);
     book.end(seconds(2), ATTEMPT, true);
     book.begin(seconds(200), AttemptId(8), FRESH);
 
-    let told = book.tombstone(seconds(201), ATTEMPT, Duration::from_secs(200));
+    let reply = book.tombstone(seconds(201), ATTEMPT, Duration::from_secs(200));
 
-    assert_eq!(told, TombstoneState::CannotTell);
+    assert_eq!(reply, TombstoneState::CannotTell);
 }
 
 #[test]
-fn full_book_refuses_rather_than_forgets() {
-    // A burst of tombstones fills the book. Forgetting the oldest would let its dispatch run.
-    let limits = BookLimits { attempts: 2, ..BookLimits::default() };
+fn full_book_refuses_and_does_not_forget() {
+    // A burst of tombstones fills the book. If it forgot the oldest one, that attempt's dispatch
+    // would run.
+    let limits = BookLimits { max_attempts: 2, ..BookLimits::default() };
     let mut book = AttemptBook::new(limits);
     book.tombstone(seconds(1), AttemptId(1), FRESH);
     book.tombstone(seconds(1), AttemptId(2), FRESH);
 
     let refused = book.begin(seconds(2), AttemptId(3), FRESH);
-    let untold = book.tombstone(seconds(2), AttemptId(4), FRESH);
+    let unknown = book.tombstone(seconds(2), AttemptId(4), FRESH);
 
     assert_eq!(refused, BeginDecision::Full);
-    assert_eq!(untold, TombstoneState::CannotTell);
+    assert_eq!(unknown, TombstoneState::CannotTell);
     assert_eq!(book.begin(seconds(3), AttemptId(1), FRESH), BeginDecision::Tombstoned);
 }
 
 #[test]
 fn tombstone_of_restarted_agent_proves_nothing() {
-    // The agent died after it handed the call to the service, and its successor knows of nothing.
-    // A caller told `not_run` would book the lot a second time.
+    // The agent crashed after it handed the call to the service, and its successor does not know
+    // the attempt. A caller told `not_run` would repeat a booking.
     let mut tracker = tracker(false);
     tracker.on_break(seconds(1), false);
     tracker.on_reply(seconds(2), AgentReply::NotHeld { attempt: ATTEMPT });
@@ -110,12 +111,12 @@
 }
 
 #[test]
-fn silence_asks_again_over_new_connection() {
-    // Something between entry and agent lost track of the connection: it stays open and brings
-    // nothing. A caller would wait for its deadline while the answer lies ready.
+fn silent_connection_is_replaced_by_a_new_one() {
+    // The connection stays open but delivers nothing, as after a middlebox has lost its state. The
+    // caller would wait until its deadline although the answer is ready.
     let mut tracker = tracker(true);
     tracker.on_reply(seconds(0), chunk(0));
-    let until = TimePoint::default().after(SILENCE_BOUND);
+    let until = TimePoint::default().after(FRAME_TIMEOUT);
 
     let action = tracker.on_silence(until);
 
@@ -127,7 +128,7 @@
 
 #[test]
 fn answer_to_another_attempt_is_dropped() {
-    // An agent mixes up two streams. The caller would read somebody else's contract draft.
+    // An agent mixes up two streams. The caller would read the answer to another caller.
     let mut tracker = tracker(true);
     let other = AgentReply::Chunk { attempt: AttemptId(8), sequence: 0, data: vec![1] };
 
@@ -138,9 +139,9 @@
 }
 
 #[test]
-fn end_with_missing_chunk_is_no_end() {
-    // A chunk was lost on the way and the end mark was not. The caller would take a short answer
-    // for a whole one.
+fn end_with_missing_chunk_is_not_accepted() {
+    // A chunk was lost but the end frame arrived. The caller would take a truncated answer for a
+    // complete one.
     let mut tracker = tracker(true);
     tracker.on_reply(seconds(1), chunk(0));
     let end = AgentReply::End { attempt: ATTEMPT, count: 2, load: LoadReport::default() };
@@ -151,11 +152,11 @@
 }
 
 #[test]
-fn reader_behind_the_buffer_is_told_so() {
-    // The entry comes back for chunks that were dropped to keep memory bounded. Starting it at the
-    // oldest chunk left would leave a hole in the answer.
+fn reader_behind_the_buffer_is_rejected() {
+    // The entry asks for chunks that were dropped to bound memory. Resuming at the oldest remaining
+    // chunk would leave a gap in the answer.
     let mut buffer = AnswerBuffer::new(TimePoint::default(), 2);
-    let mut reader = buffer.attach(0).expect("an empty buffer holds everything");
+    let mut reader = buffer.attach(0).expect("an empty buffer accepts a reader at offset zero");
     for number in 0..5 {
         buffer.push(vec![number]);
         buffer.take(&mut reader);
@@ -165,27 +166,27 @@
     assert!(buffer.attach(4).is_some());
 }
 
-/// An agent and the path to it, both driven by one seed.
-struct FlakyPath {
+/// An agent and the connection to it, both driven by one seed.
+struct FaultyConnection {
     random: ChaCha8Rng,
     book: AttemptBook,
     buffer: Option<AnswerBuffer>,
     reader: Option<BufferReader>,
-    made: u64,
-    dispatch_waits: bool,
+    produced: u64,
+    dispatch_pending: bool,
     held_reply: Option<AgentReply>,
     now: TimePoint,
 }
 
-impl FlakyPath {
+impl FaultyConnection {
     fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             book: AttemptBook::new(BookLimits::default()),
             buffer: None,
             reader: None,
-            made: 0,
-            dispatch_waits: true,
+            produced: 0,
+            dispatch_pending: true,
             held_reply: None,
             now: TimePoint::default(),
         }
@@ -199,28 +200,28 @@
         self.buffer.is_some()
     }
 
-    fn deliver_dispatch(&mut self, listens: bool) {
-        self.dispatch_waits = false;
+    fn deliver_dispatch(&mut self, attach_reader: bool) {
+        self.dispatch_pending = false;
         if self.book.begin(self.now, ATTEMPT, FRESH) == BeginDecision::Start {
             let mut buffer = AnswerBuffer::new(self.now, 4);
             buffer.push_head(AnswerHead { status: 200, content_type: "text/plain".to_owned() });
-            self.reader = if listens { buffer.attach(0) } else { None };
+            self.reader = if attach_reader { buffer.attach(0) } else { None };
             self.buffer = Some(buffer);
         }
     }
 
-    /// The engine makes a chunk, or ends.
-    fn work(&mut self) {
+    /// The engine produces a chunk or ends the answer.
+    fn produce(&mut self) {
         let Some(buffer) = &mut self.buffer else { return };
-        if self.made < CHUNKS && buffer.has_room() {
-            buffer.push(vec![self.made as u8]);
-            self.made += 1;
-        } else if self.made == CHUNKS {
+        if self.produced < CHUNKS && buffer.has_room() {
+            buffer.push(vec![self.produced as u8]);
+            self.produced += 1;
+        } else if self.produced == CHUNKS {
             buffer.finish(AnswerEnd::Whole);
         }
     }
 
-    /// What the entry's current stream brings next.
+    /// Returns the next frame of the entry's current stream.
     fn receive(&mut self) -> Option<AgentReply> {
         if let Some(reply) = self.held_reply.take() {
             return Some(reply);
@@ -239,7 +240,7 @@
         })
     }
 
-    /// The entry's question arrives over a new connection.
+    /// Handles a request that the entry sends over a new connection.
     fn ask(&mut self, request: &EntryRequest) {
         self.held_reply = match request {
             EntryRequest::Resume { offset, .. } => {
@@ -254,29 +255,29 @@
         };
     }
 
-    /// Follows one attempt to its end; returns what the caller saw and the last action.
-    fn follow(&mut self, tracker: &mut AttemptTracker) -> (Vec<u8>, TrackerAction) {
-        let mut seen = Vec::new();
+    /// Runs an attempt to its end; returns the bytes that the caller received and the last action.
+    fn run(&mut self, tracker: &mut AttemptTracker) -> (Vec<u8>, TrackerAction) {
+        let mut received = Vec::new();
         loop {
             self.now = self.now.after(Duration::from_millis(10));
-            if self.dispatch_waits && self.chance(30) {
+            if self.dispatch_pending && self.chance(30) {
                 self.deliver_dispatch(true);
             }
-            self.work();
+            self.produce();
             let action = self.step(tracker);
             match action {
                 TrackerAction::Deliver(data) => {
                     tracker.mark_shown();
-                    seen.extend(data);
+                    received.extend(data);
                 }
                 TrackerAction::Reconnect { request, .. } => self.ask(&request),
                 TrackerAction::Wait | TrackerAction::Head { .. } | TrackerAction::Crossed => {}
-                end => return (seen, end),
+                end => return (received, end),
             }
         }
     }
 
-    /// One event of the path: a break, a loss, a doubled frame, or a frame as it should be.
+    /// Simulates one event: a broken connection, a lost frame, a duplicate frame or a normal frame.
     fn step(&mut self, tracker: &mut AttemptTracker) -> TrackerAction {
         if self.chance(5) {
             self.reader = None;
@@ -301,32 +302,32 @@
 }
 
 #[test]
-fn no_path_shows_a_wrong_answer_or_a_false_not_run() {
-    // Frames are lost, doubled and crossed, streams break at any moment, and the dispatch itself
-    // may come after everybody gave up. Whatever happens, the caller sees a true beginning of its
-    // own answer, a whole one only when it is whole, and `not_run` only for what never runs.
+fn faulty_connection_causes_no_wrong_answer_and_no_false_not_run() {
+    // Frames are lost, duplicated and misrouted, streams break, and the dispatch may arrive after
+    // everyone gave up. The caller must receive a correct prefix of its own answer, a complete
+    // answer only if it is complete, and `not_run` only for an attempt that never runs.
     let (mut whole, mut refused, mut lost) = (0, 0, 0);
     for seed in 0..3000 {
-        let mut path = FlakyPath::new(seed);
+        let mut connection = FaultyConnection::new(seed);
         let mut tracker = tracker(seed % 2 == 0);
 
-        let (seen, end) = path.follow(&mut tracker);
+        let (received, end) = connection.run(&mut tracker);
 
         let expected: Vec<u8> = (0..CHUNKS as u8).collect();
-        assert!(expected.starts_with(&seen), "seed {seed}: {seen:?}");
+        assert!(expected.starts_with(&received), "seed {seed}: {received:?}");
         match end {
             TrackerAction::Finish(_) => {
-                assert_eq!(seen, expected, "seed {seed}");
+                assert_eq!(received, expected, "seed {seed}");
                 whole += 1;
             }
             TrackerAction::Refused(..) => {
-                path.deliver_dispatch(false);
-                assert!(!path.ran(), "seed {seed}: it ran after `not_run`");
+                connection.deliver_dispatch(false);
+                assert!(!connection.ran(), "seed {seed}: the attempt ran after `not_run`");
                 refused += 1;
             }
             TrackerAction::Lost { .. } => lost += 1,
             other => panic!("seed {seed}: {other:?}"),
         }
     }
-    assert!(whole > 0 && refused > 0 && lost > 0, "{whole} {refused} {lost}");
+    assert!(whole > 0 && refused > 0 && lost > 0, "whole {whole}, refused {refused}, lost {lost}");
 }
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of replica under stale, missing and wrong knowledge.
+//! Replica choice with stale, missing and false load information.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -79,7 +79,7 @@
     }
 }
 
-/// Chooses `count` times at once; returns how often each of `groups` was chosen.
+/// Makes `count` choices at the same time; returns how often each of `groups` was chosen.
 fn counts(
     table: &mut ReplicaTable,
     groups: usize,
@@ -90,15 +90,15 @@
     let mut counts = vec![0; groups];
     for _ in 0..count {
         let group = choose(table, at(1), asked, &mut random).expect("a replica has room");
-        counts[usize::try_from(group).expect("small")] += 1;
+        counts[usize::try_from(group).expect("the group number fits into usize")] += 1;
     }
     counts
 }
 
 #[test]
 fn entries_with_one_stale_report_do_not_all_choose_the_same_replica() {
-    // Fifty entries hold the same old reports, by which one replica is empty. If all of them went
-    // there, its callers would wait while the other replicas have room.
+    // Fifty entries have the same old reports, in which one replica is idle. If all of them chose
+    // it, its callers would wait while other replicas have room.
     let groups: Vec<GroupId> = (0..10).map(GroupId).collect();
     let route = RouteAction::default();
     let mut ours = [0_u32; 10];
@@ -111,10 +111,14 @@
         for group in &groups {
             let load = report(if group.0 == 3 { 0 } else { 6 }, 8000);
             table.release(at(1), *group, AttemptResult::Answered, Some(&load), &mut random);
-            least.report(usize::try_from(group.0).expect("small"), load.in_flight);
+            least.report(
+                usize::try_from(group.0).expect("the group number fits into usize"),
+                load.in_flight,
+            );
         }
-        let chosen = choose(&mut table, at(2), &request(&route), &mut random).expect("room");
-        ours[usize::try_from(chosen).expect("small")] += 1;
+        let chosen =
+            choose(&mut table, at(2), &request(&route), &mut random).expect("a replica has room");
+        ours[usize::try_from(chosen).expect("the group number fits into usize")] += 1;
         naive[least.choose(&mut random)] += 1;
     }
 
@@ -134,16 +138,17 @@
 }
 
 #[test]
-fn replica_that_lies_about_its_load_gets_no_more_than_it_holds() {
-    // A replica reports an empty queue whatever it does, and never answers. Its callers would all
-    // wait there; the entry's own count tells that nothing comes back.
+fn replica_that_reports_no_load_and_never_answers_gets_few_requests() {
+    // A replica always reports an empty queue but never answers. Its callers would all wait there;
+    // the entry's own in-flight count shows that no requests finish.
     let route = RouteAction::default();
     let mut random = random();
     let mut table = table(&alike(4));
     let mut stuck = 0;
 
     for millis in 0..2000 {
-        let group = choose(&mut table, at(millis), &request(&route), &mut random).expect("room");
+        let group = choose(&mut table, at(millis), &request(&route), &mut random)
+            .expect("a replica has room");
         if group == 0 {
             stuck += 1;
             continue;
@@ -158,13 +163,13 @@
         );
     }
 
-    assert!(stuck <= 4, "{stuck} requests went to the replica that answers nothing");
+    assert!(stuck <= 4, "{stuck} requests went to the replica that never answers");
 }
 
 #[test]
-fn straggler_is_eased_out_and_comes_back() {
-    // A host of one replica runs ten times slower for a while. Requests sent there take ten times
-    // as long; once it has recovered it must serve again without anybody stepping in.
+fn slow_replica_is_ejected_and_readmitted() {
+    // A host of one replica runs ten times slower for a while, and requests on it take ten times as
+    // long. After its recovery the replica must be used again without intervention.
     let route = RouteAction::default();
     let mut random = random();
     let mut table = table(&alike(5));
@@ -172,7 +177,8 @@
 
     for millis in 0..30_000_u64 {
         let is_slow = millis < 15_000;
-        let group = choose(&mut table, at(millis), &request(&route), &mut random).expect("room");
+        let group = choose(&mut table, at(millis), &request(&route), &mut random)
+            .expect("a replica has room");
         let step = if group == 0 && is_slow { 80_000 } else { 8_000 };
         slow[usize::from(!is_slow)] += u32::from(group == 0);
         let load = report(1, step);
@@ -186,22 +192,23 @@
     }
 
     assert!(slow[0] <= 15, "{slow:?}");
-    assert!(slow[0] >= 2, "a straggler that is never tried cannot come back: {slow:?}");
+    assert!(slow[0] >= 2, "an ejected replica must be probed: {slow:?}");
     assert!(slow[1] >= 1000, "{slow:?}");
-    assert!(!table.is_straggler(GroupId(0)));
+    assert!(!table.is_ejected(GroupId(0)));
 }
 
 #[test]
-fn refusing_replica_is_left_alone_for_a_growing_time() {
-    // One replica refuses everything. Each refusal costs its request a detour, so there must be
-    // fewer and fewer of them.
+fn refusing_replica_gets_exponential_backoff() {
+    // One replica refuses everything. Each refusal delays a request, so refusals must become less
+    // frequent.
     let route = RouteAction::default();
     let mut random = random();
     let mut table = table(&alike(3));
     let mut refusals = Vec::new();
 
     for millis in 0..20_000 {
-        let group = choose(&mut table, at(millis), &request(&route), &mut random).expect("room");
+        let group = choose(&mut table, at(millis), &request(&route), &mut random)
+            .expect("a replica has room");
         let (result, load) = if group == 0 {
             refusals.push(millis);
             (AttemptResult::Refused(RefusalReason::GroupNotWhole), report(0, 0))
@@ -212,11 +219,11 @@
     }
 
     assert!(refusals.len() <= 15, "{refusals:?}");
-    assert!(refusals.last() >= Some(&10_000), "it is tried again: {refusals:?}");
+    assert!(refusals.last() >= Some(&10_000), "the replica must be tried again: {refusals:?}");
 }
 
 #[test]
-fn replicas_that_cannot_be_reached_tell_when_to_come_back() {
+fn unreachable_replicas_yield_a_retry_time() {
     let route = RouteAction::default();
     let mut random = random();
     let mut table = table(&alike(2));
@@ -231,9 +238,9 @@
 }
 
 #[test]
-fn full_replicas_take_nothing_and_old_reports_of_fullness_lapse() {
-    // A replica was full when it last reported, and nobody asks it since. It must not look full
-    // for ever, because only a request brings a newer report.
+fn full_replicas_get_no_requests_until_their_reports_expire() {
+    // A replica was full at its last report and has received no request since. It must not look
+    // full forever, because only a request brings a newer report.
     let route = RouteAction::default();
     let mut random = random();
     let mut table = table(&alike(1));
@@ -319,9 +326,9 @@
 }
 
 #[test]
-fn prompt_that_everybody_sends_does_not_overload_one_replica() {
-    // A campaign makes every caller send the same template. Its replica alone would be far over
-    // the mean, and those callers would wait while others have room.
+fn popular_prompt_does_not_overload_one_replica() {
+    // All callers send the same prompt template. Its preferred replica alone would be far above the
+    // mean load, and these callers would wait while other replicas have room.
     let route = RouteAction::default();
     let asked = ChoiceRequest { prefix: Some(PrefixDigest(42)), ..request(&route) };
     let mut table = table(&alike(10));
@@ -329,7 +336,7 @@
     let counts = counts(&mut table, 10, 100, &asked);
 
     let largest = counts.iter().max().copied().unwrap_or_default();
-    assert!(largest <= 14, "mean 10, bound 125 percent and one: {counts:?}");
+    assert!(largest <= 14, "mean 10, bound 125 percent plus one: {counts:?}");
 }
 
 #[test]
@@ -337,7 +344,8 @@
     let route = RouteAction::default();
     let mut random = random();
     let mut table = table(&alike(2));
-    let group = choose(&mut table, at(1), &request(&route), &mut random).expect("room");
+    let group =
+        choose(&mut table, at(1), &request(&route), &mut random).expect("a replica has room");
     let mut fleet = alike(3);
     fleet.version = 2;
 
--- a/crates/routing/tests/model/mod.rs
+++ b/crates/routing/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! A service with a fixed number of slots under a seeded load, in simulated time.
+//! Simulation of a service with a fixed number of slots under a seeded load.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time between two steps of the model.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(1);
 
-/// One team's load.
+/// Load of one team.
 pub struct TeamLoad {
     pub name: &'static str,
     pub weight: u32,
@@ -22,7 +22,7 @@
     pub rate: f64,
 }
 
-/// A load on one service.
+/// Load on one service.
 pub struct LoadPlan {
     pub slots: u64,
     pub service_ms: u64,
@@ -31,11 +31,11 @@
     pub teams: Vec<TeamLoad>,
 }
 
-/// What became of one team's requests, per second.
+/// Results of one team, per second.
 #[derive(Debug, Default, Clone)]
 pub struct TeamResult {
     pub offered: f64,
-    /// Answered before the deadline.
+    /// Requests answered before the deadline.
     pub useful: f64,
     pub late: f64,
     pub refused: f64,
@@ -49,7 +49,7 @@
     ends: TimePoint,
 }
 
-/// Service times between a half and one and a half of the mean.
+/// Returns a service time between a half and one and a half of the mean.
 fn service_time(plan: &LoadPlan, random: &mut ChaCha8Rng) -> Duration {
     Duration::from_millis(random.random_range(plan.service_ms / 2..=plan.service_ms * 3 / 2))
 }
@@ -126,8 +126,9 @@
             *(if in_time { &mut result.useful } else { &mut result.late }) += 1.0;
         }
         for output in queue.step(now) {
-            let place = waiting.iter().position(|job| job.ticket == output.ticket);
-            let mut job = waiting.swap_remove(place.expect("verdicts are on waiting requests"));
+            let position = waiting.iter().position(|job| job.ticket == output.ticket);
+            let mut job =
+                waiting.swap_remove(position.expect("a verdict concerns a waiting request"));
             match output.verdict {
                 AdmissionVerdict::Run => {
                     job.ends = now.after(service_time(plan, &mut random));
@@ -136,12 +137,12 @@
                 AdmissionVerdict::Refuse(_) => results[job.team].refused += 1.0,
             }
         }
-        assert!(running.len() <= plan.slots as usize, "more run than there are slots");
+        assert!(running.len() <= plan.slots as usize, "more requests run than there are slots");
     }
     per_second(results, plan)
 }
 
-/// Runs `plan` through one unbounded line, first come first served.
+/// Runs `plan` through a single unbounded FIFO queue.
 pub fn run_unlimited(plan: &LoadPlan, seed: u64) -> Vec<TeamResult> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut results = vec![TeamResult::default(); plan.teams.len()];
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which attempts are repeated, and how many.
+//! Retry decisions and the retry budget.
 
 use std::time::Duration;
 
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn unknown_attempt_is_never_repeated_when_that_could_show() {
-    // An answer broke off. The call may have booked a lot, or its caller may have read half a
-    // draft; running it again would book twice or change the draft under the reader's eyes.
+fn unknown_attempt_is_not_repeated_when_a_second_run_could_do_harm() {
+    // An answer broke off. The call may have made a booking, or its caller may have read half of a
+    // draft. A second run would book twice or change the draft while it is read.
     let mut booked = history(1);
     booked.repeatable = false;
     let mut read = history(1);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn attempt_that_did_not_run_is_repeated_also_when_calls_may_not_be() {
+fn attempt_that_did_not_run_is_repeated_even_if_the_call_is_not_repeatable() {
     let mut booked = history(1);
     booked.repeatable = false;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn unseen_repeatable_attempt_is_repeated_with_short_wait() {
+fn undelivered_repeatable_attempt_is_repeated_after_a_short_delay() {
     let decision = decide(AttemptEffect::Unknown, &history(1), TimePoint(0));
 
     assert_matches!(decision, RetryDecision::Retry(wait) if wait <= Duration::from_millis(5));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn bounces_cost_no_budget_and_lead_back_to_the_queue() {
+fn full_refusals_cost_no_budget_and_lead_to_requeue() {
     let mut full = history(0);
 
     let decisions: Vec<RetryDecision> = (1..=3)
@@ -82,8 +82,8 @@
 
 #[test]
 fn outage_of_all_replicas_does_not_multiply_load() {
-    // Every replica fails every attempt. With three attempts a request, replicas that try to come
-    // back would meet three times their load; the budget holds it near one and a fifth.
+    // Every replica fails every attempt. With three attempts for each request, recovering replicas
+    // would receive three times their load; the budget limits this to about one and a fifth.
     let action = RetryAction::default();
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut budget = RetryBudget::default();
@@ -107,5 +107,5 @@
     }
 
     assert!(attempts <= requests * 12 / 10 + 10, "{attempts} attempts for {requests} requests");
-    assert!(attempts >= requests * 119 / 100, "the budget is used: {attempts}");
+    assert!(attempts >= requests * 119 / 100, "the budget must be used up: {attempts}");
 }
--- a/crates/routing/tests/shares.rs
+++ b/crates/routing/tests/shares.rs
@@ -1,4 +1,4 @@
-//! A limit shared over entries under loss, delay and silence.
+//! A limit shared by several entries under message loss, delays and entries that stop sending.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 const ANSWER_WAIT: Duration = Duration::from_millis(1000);
 const STEP: Duration = Duration::from_millis(50);
 
-/// An entry as the protocol wants it: it takes an answer only before its next renewal.
+/// An entry that follows the protocol: it accepts an answer only before its next renewal.
 #[derive(Default)]
 struct ModelEntry {
     nonce: u64,
@@ -22,7 +22,7 @@
     demand: u64,
     silent: bool,
     waits: bool,
-    told: u64,
+    reported: u64,
 }
 
 impl ModelEntry {
@@ -30,7 +30,7 @@
         if now < self.until { self.share } else { 0 }
     }
 
-    /// Whether it renews now: after an answer, or when none has come for long enough.
+    /// Whether a renewal is due: after an answer, or if none has arrived for long enough.
     fn is_due(&self, now: TimePoint) -> bool {
         !self.silent && (!self.waits || now.since(self.sent) >= ANSWER_WAIT)
     }
@@ -39,12 +39,12 @@
         self.nonce += 1;
         self.sent = now;
         self.waits = true;
-        self.told = self.held(now);
-        ShareAsk { nonce: self.nonce, demand: self.demand, held: self.told, used: 0 }
+        self.reported = self.held(now);
+        ShareAsk { nonce: self.nonce, demand: self.demand, held: self.reported, used: 0 }
     }
 
     fn take(&mut self, now: TimePoint, nonce: u64, share: u64) {
-        if nonce == self.nonce && (self.told == 0 || now < self.until) {
+        if nonce == self.nonce && (self.reported == 0 || now < self.until) {
             self.waits = false;
             self.share = share;
             self.until = self.sent.after(LEASE);
@@ -56,13 +56,13 @@
     (0..count).map(|_| ModelEntry::default()).collect()
 }
 
-/// Mostly short, now and then longer than a lease.
+/// Returns a delay that is mostly short and sometimes longer than a lease.
 fn network_delay(random: &mut ChaCha8Rng) -> Duration {
     let longest = if random.random_bool(0.8) { 100 } else { 5000 };
     Duration::from_millis(random.random_range(0..longest))
 }
 
-/// Runs `steps` of renewals over a lossy, slow network; returns the largest sum of shares held.
+/// Runs `steps` of renewals over a slow and lossy network; returns the largest sum of held shares.
 fn run_lossy(seed: u64, limit: u64, count: usize, steps: u32, change_leader_at: u32) -> u64 {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut entries = entries(count);
@@ -110,19 +110,19 @@
 
 #[test]
 fn shares_never_exceed_limit_under_loss_delay_and_silence() {
-    // Renewals and answers get lost, come seconds late or out of order, and entries fall silent
-    // and come back. If the leader gave a share away that somebody still held, a team would run
-    // more at once than its operators allow.
+    // Renewals and answers are lost, arrive seconds late or out of order, and entries stop sending
+    // for a while. If the leader granted a share that another entry still holds, a team could run
+    // more requests at once than its limit allows.
     let largest: Vec<u64> = (0..40).map(|seed| run_lossy(seed, 37, 7, 1200, u32::MAX)).collect();
 
     assert!(largest.iter().all(|sum| *sum <= 37), "{largest:?}");
-    assert!(largest.iter().all(|sum| *sum > 30), "shares were hardly given out: {largest:?}");
+    assert!(largest.iter().all(|sum| *sum > 30), "too few shares were granted: {largest:?}");
 }
 
 #[test]
-fn new_leader_gives_no_share_twice() {
-    // The leader dies and another takes over that knows nothing of the shares given out. Entries
-    // that hold them go on; nobody else may get the same share meanwhile.
+fn new_leader_grants_no_share_twice() {
+    // The leader fails, and its successor knows nothing of the granted shares. Entries that hold
+    // them continue; no other entry may get the same units in the meantime.
     let largest: Vec<u64> = (100..140).map(|seed| run_lossy(seed, 37, 7, 1200, 600)).collect();
 
     assert!(largest.iter().all(|sum| *sum <= 37), "{largest:?}");
@@ -141,7 +141,7 @@
             now = TimePoint(0).after(Duration::from_secs(second.into()));
             let ask = entry.ask(now);
             let share = book.renew(now, HolderId(number as u64), &ask);
-            entry.take(now, ask.nonce, share.expect("renewals come in order"));
+            entry.take(now, ask.nonce, share.expect("renewals arrive in order"));
         }
     }
     now
@@ -156,12 +156,13 @@
     let now = run_calm(&mut book, &mut entries, 0, 12);
 
     assert_eq!(entries[7].held(now), 400);
-    assert!(entries[8].held(now) >= 1, "an idle entry keeps a standing share");
+    assert!(entries[8].held(now) >= 1, "an idle entry keeps a base share");
 }
 
 #[test]
-fn share_of_silent_entry_comes_back_after_its_lease() {
-    // An entry dies with the whole limit in its hands. Others get it once the lease is over.
+fn share_of_silent_entry_is_reclaimed_after_its_lease() {
+    // An entry that holds the whole limit fails. The other entry must get it once the lease has
+    // expired.
     let mut book = LimitBook::open(TimePoint(0), 10, LEASE + MARGIN);
     let mut both = entries(2);
     both[0].demand = 10;
@@ -175,6 +176,6 @@
     let late =
         book.renew(TimePoint(16_000_000), HolderId(1), &survivor[0].ask(TimePoint(16_000_000)));
 
-    assert!(dead_share >= 5 && early.expect("in order") <= 10 - dead_share);
+    assert!(dead_share >= 5 && early.expect("renewals arrive in order") <= 10 - dead_share);
     assert_eq!(late, Some(10));
 }
