--- a/crates/control/src/agreement/core.rs
+++ b/crates/control/src/agreement/core.rs
@@ -1,4 +1,4 @@
-//! The core: what every control host keeps, whatever its role.
+//! The consensus state machine: state that a control host keeps in every role.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::follow::IncomingSnapshot;
-use super::lead::LeadState;
+use super::follower::IncomingSnapshot;
+use super::leader::LeaderState;
 use super::log::EntryLog;
-use super::sync::SyncBook;
+use super::sync::SyncTracker;
 use super::{
     CommittedEntry, CoreOutput, EntryPayload, FolderId, HardState, LogDelivery, LogSnapshot,
-    MemberSeat, PeerBody, PeerMessage, RecoveredState, StorageWrite,
+    PeerBody, PeerMessage, RecoveredState, StorageWrite, VoterSeat,
 };
 
-/// Committed entries in memory after which a snapshot is due.
+/// Committed entries since the last snapshot that trigger a new one.
 const SNAPSHOT_ENTRIES: u64 = 4096;
 
-/// Bytes of entries in memory after which a snapshot is due.
+/// Bytes of log entries in memory that trigger a new snapshot.
 const SNAPSHOT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Entries that stay behind a snapshot, so that a host that is a little late needs no snapshot.
+/// Entries kept before a snapshot, so that a slightly lagging host can catch up without one.
 const TRAILING_ENTRIES: u64 = 512;
 
-/// Part of the usual election timeout that a host waits after its start, as a fraction.
-const FIRST_ELECTION: (u32, u32) = (1, 8);
+/// Fraction (numerator, denominator) of the election timeout to wait after a start.
+const INITIAL_ELECTION_FRACTION: (u32, u32) = (1, 8);
 
-/// The times of the agreement.
+/// Timing parameters of the consensus protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgreementTimes {
-    /// Time between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Shortest time without a leader before an election; the longest is twice as long.
+    /// Minimum election timeout; each timeout is drawn between this value and twice this value.
     pub election: Duration,
 }
 
@@ -43,61 +43,62 @@
     }
 }
 
-/// Who takes part, seen from one control host.
+/// Configuration of the consensus protocol on one control host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AgreementSettings {
-    /// This host.
+    /// Name of this host.
     pub node: NodeName,
-    /// Its data folder.
+    /// Id of its data folder.
     pub folder: FolderId,
-    /// All control hosts, this one among them; those known so far when membership is dynamic.
+    /// All control hosts including this one; the currently known ones with dynamic membership.
     pub members: Vec<NodeName>,
-    /// How it is settled who votes.
+    /// How the set of voters is determined.
     pub membership: MembershipMode,
-    /// The times.
+    /// Timing parameters.
     pub times: AgreementTimes,
-    /// Seed of the election timeouts.
+    /// Seed for the randomized election timeouts.
     pub seed: u64,
 }
 
 plain_choice! {
-    /// How it is settled who votes.
+    /// How the set of voters is determined.
     #[derive(Default)]
     pub enum MembershipMode {
-        /// The settings name every voter, and together they found the log.
+        /// The settings list every voter; all of them together establish the founding
+        /// configuration.
         #[default]
         Fixed,
-        /// One host founds the log alone; every other voter is added and removed through the log.
+        /// One host bootstraps the log alone; other voters are added and removed through the log.
         Dynamic {
-            /// Voters that the log is grown to.
+            /// Target number of voters.
             voters: usize,
         },
     }
 
-    /// What a control host is in the current term.
+    /// Role of a control host in the current term.
     pub enum MemberRole {
-        /// Its data folder has no seat yet; it takes entries and does not vote.
+        /// Receives entries but has no voter seat yet.
         Learner,
-        /// It follows a leader, or waits for one.
+        /// Follows a leader, or waits for one.
         Follower,
-        /// It asks for votes.
+        /// Requests votes.
         Candidate,
-        /// It leads.
+        /// Leads the current term.
         Leader,
     }
 }
 
-/// What a host does in the current term.
+/// Role of this host with the state that belongs to it.
 #[derive(Debug)]
 pub(super) enum RoleState {
     Following,
-    /// Asks whether it would get votes, without changing a term.
+    /// Polls the voters before an election, without increasing the term.
     PreVoting(Vec<NodeName>),
     Voting(Vec<NodeName>),
-    Leading(LeadState),
+    Leading(LeaderState),
 }
 
-/// The replicated log as one control host sees it.
+/// The replicated log from the point of view of one control host.
 #[derive(Debug)]
 pub struct AgreementCore {
     pub(super) node: NodeName,
@@ -107,28 +108,28 @@
     pub(super) times: AgreementTimes,
     random: ChaCha8Rng,
     pub(super) hard: HardState,
-    pub(super) founding: Option<Vec<MemberSeat>>,
-    pub(super) seats: Vec<MemberSeat>,
+    pub(super) founding: Option<Vec<VoterSeat>>,
+    pub(super) seats: Vec<VoterSeat>,
     pub(super) role: RoleState,
     pub(super) leader: Option<NodeName>,
-    pub(super) leader_heard: Option<TimePoint>,
-    pub(super) election_at: TimePoint,
-    pub(super) hello_at: TimePoint,
-    pub(super) greeted: SortedTable<NodeName, FolderId>,
+    pub(super) last_leader_contact: Option<TimePoint>,
+    pub(super) election_deadline: TimePoint,
+    pub(super) next_hello_at: TimePoint,
+    pub(super) discovered: SortedTable<NodeName, FolderId>,
     pub(super) log: EntryLog,
     pub(super) snapshot: Option<LogSnapshot>,
     pub(super) commit: LogIndex,
-    delivered: LogIndex,
+    last_delivered: LogIndex,
     pub(super) incoming: Option<IncomingSnapshot>,
-    pub(super) sync: SyncBook,
+    pub(super) sync: SyncTracker,
     pub(super) output: CoreOutput,
 }
 
 impl AgreementCore {
-    /// A core that goes on from what its data folder held.
+    /// Creates a core from the contents of the data folder.
     ///
-    /// What is known to be committed comes out of the first drain; nothing later is adopted
-    /// before a majority has confirmed it.
+    /// The first drain delivers the entries known to be committed. Later entries are delivered only
+    /// after a majority has confirmed them.
     pub fn new(now: TimePoint, settings: AgreementSettings, recovered: RecoveredState) -> Self {
         let mut members = settings.members;
         members.sort();
@@ -153,15 +154,15 @@
             seats,
             role: RoleState::Following,
             leader: None,
-            leader_heard: None,
-            election_at: now,
-            hello_at: now,
-            greeted: SortedTable::new(),
-            sync: SyncBook::new(log.last_index()),
+            last_leader_contact: None,
+            election_deadline: now,
+            next_hello_at: now,
+            discovered: SortedTable::new(),
+            sync: SyncTracker::new(log.last_index()),
             log,
             snapshot: snapshot.clone(),
             commit,
-            delivered: base,
+            last_delivered: base,
             incoming: None,
             output: CoreOutput::default(),
         };
@@ -169,82 +170,84 @@
             core.output.deliveries.push(LogDelivery::Restore(snapshot));
         }
         core.deliver();
-        // A single member has nobody to wait for.
+        // A single member needs no votes from others, so it starts its election at once.
         if core.membership != MembershipMode::Fixed || core.members.len() > 1 {
-            core.delay_pre_vote(now);
+            core.schedule_pre_vote(now);
         }
         core
     }
 
-    /// When a host that has heard of no leader since its start asks whether it would be elected.
+    /// Schedules the next pre-vote.
     ///
-    /// Where voters come and go it waits a part of the usual time only, each time: when every process
-    /// was stopped at once, nobody leads, and the usual wait is most of the time without service. The
-    /// first questions, or the answers, meet hosts that are not up yet. A leader that does exist is
-    /// not disturbed, since its followers refuse the pre-vote.
-    pub(super) fn delay_pre_vote(&mut self, now: TimePoint) {
-        self.delay_election(now);
-        let is_new = self.leader_heard.is_none();
+    /// With dynamic membership, a host that has not heard from a leader since its start waits for
+    /// only a fraction of the election timeout. After a simultaneous restart nobody leads, and the
+    /// full timeout would make up most of the outage. The shortened wait applies to every attempt,
+    /// because the first requests or replies reach hosts that are not up yet. An existing leader is
+    /// not disturbed: its followers reject the pre-vote.
+    pub(super) fn schedule_pre_vote(&mut self, now: TimePoint) {
+        self.reset_election_timer(now);
+        let is_new = self.last_leader_contact.is_none();
         if is_new && matches!(self.membership, MembershipMode::Dynamic { .. }) {
-            let usual = self.election_at.since(now);
-            self.election_at = now.after(usual * FIRST_ELECTION.0 / FIRST_ELECTION.1);
+            let usual = self.election_deadline.since(now);
+            self.election_deadline =
+                now.after(usual * INITIAL_ELECTION_FRACTION.0 / INITIAL_ELECTION_FRACTION.1);
         }
     }
 
-    /// Takes note of the time: elections, heartbeats, and the end of a leadership that a majority
-    /// no longer confirms.
+    /// Advances time: starts elections, sends heartbeats, and steps down when a majority no longer
+    /// responds.
     pub fn tick(&mut self, now: TimePoint) {
         self.check_quorum(now);
         match &self.role {
-            RoleState::Leading(_) => self.beat(now),
-            _ if !self.has_seat() => self.seek_seat(now),
-            _ if now >= self.election_at => self.start_pre_vote(now),
+            RoleState::Leading(_) => self.schedule_heartbeat(now),
+            _ if !self.is_self_voter() => self.discover_peers(now),
+            _ if now >= self.election_deadline => self.start_pre_vote(now),
             _ => {}
         }
     }
 
-    /// Takes a message of another control host.
+    /// Handles a message from another control host.
     pub fn receive(&mut self, now: TimePoint, message: PeerMessage) {
-        // A process that slept finds its leadership gone before it believes old answers.
+        // After a pause of the process, step down before old replies can count as a majority.
         self.check_quorum(now);
         if message.from == self.node || !self.members.contains(&message.from) {
             return;
         }
-        if !self.accept_term(now, &message) {
+        if !self.reconcile_term(now, &message) {
             return;
         }
         let PeerMessage { from, folder, term, body } = message;
         match body {
-            PeerBody::Hello => self.take_hello(from, folder),
+            PeerBody::Hello => self.handle_hello(from, folder),
             PeerBody::Welcome { caller, founding } if caller == self.folder => {
-                self.take_welcome(now, from, folder, founding);
+                self.handle_welcome(now, from, folder, founding);
             }
             PeerBody::Welcome { .. } => {}
-            PeerBody::PreVote(call) => self.answer_pre_vote(now, from, term, &call),
+            PeerBody::PreVote(call) => self.handle_pre_vote(now, from, term, &call),
             PeerBody::PreVoteReply { granted } => {
-                self.take_pre_vote(now, from, folder, term, granted);
+                self.handle_pre_vote_reply(now, from, folder, term, granted);
             }
-            PeerBody::Vote(call) => self.answer_vote(now, from, &call),
-            PeerBody::VoteReply { granted } => self.take_vote(now, from, folder, granted),
-            PeerBody::Append(call) => self.take_append(now, from, call),
-            PeerBody::AppendReply(reply) => self.take_append_reply(now, &from, folder, &reply),
-            PeerBody::Install(call) => self.take_install(now, from, call),
+            PeerBody::Vote(call) => self.handle_vote(now, from, &call),
+            PeerBody::VoteReply { granted } => self.handle_vote_reply(now, from, folder, granted),
+            PeerBody::Append(call) => self.handle_append(now, from, call),
+            PeerBody::AppendReply(reply) => self.handle_append_reply(now, &from, folder, &reply),
+            PeerBody::Install(call) => self.handle_install(now, from, call),
             PeerBody::InstallReply { index, offset, round } => {
-                self.take_install_reply(now, &from, folder, (index, offset, round));
+                self.handle_install_reply(now, &from, folder, (index, offset, round));
             }
         }
     }
 
-    /// Takes note that the batch with `ticket` is synced.
+    /// Records that the batch with `ticket` has been synced to disk.
     pub fn stored(&mut self, now: TimePoint, ticket: u64) {
         self.check_quorum(now);
-        let free = self.sync.finish(ticket);
-        self.output.messages.extend(free);
+        let released = self.sync.mark_synced(ticket);
+        self.output.messages.extend(released);
         self.count_own_vote(now);
         self.advance_commit();
     }
 
-    /// Hands out everything that follows from the steps so far.
+    /// Returns all output produced since the last drain.
     pub fn drain(&mut self, now: TimePoint) -> CoreOutput {
         self.check_quorum(now);
         self.replicate(now);
@@ -254,86 +257,88 @@
         std::mem::take(&mut self.output)
     }
 
-    /// When `tick` is needed again at the latest.
+    /// Latest time at which `tick` must be called again.
     pub fn deadline(&self) -> TimePoint {
         match &self.role {
-            RoleState::Leading(lead) => lead.beat_at,
-            _ if !self.has_seat() => self.hello_at,
-            _ => self.election_at,
+            RoleState::Leading(state) => state.next_heartbeat_at,
+            _ if !self.is_self_voter() => self.next_hello_at,
+            _ => self.election_deadline,
         }
     }
 
-    /// What this host is.
+    /// Current role of this host.
     pub fn role(&self) -> MemberRole {
         match &self.role {
             RoleState::Leading(_) => MemberRole::Leader,
             RoleState::PreVoting(_) | RoleState::Voting(_) => MemberRole::Candidate,
-            RoleState::Following if self.has_seat() => MemberRole::Follower,
+            RoleState::Following if self.is_self_voter() => MemberRole::Follower,
             RoleState::Following => MemberRole::Learner,
         }
     }
 
-    /// The current term.
+    /// Current term.
     pub fn term(&self) -> TermNumber {
         self.hard.term
     }
 
-    /// Who leads, when known.
+    /// Current leader, if known.
     pub fn leader(&self) -> Option<&NodeName> {
         self.leader.as_ref()
     }
 
-    /// Last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub fn commit(&self) -> LogIndex {
         self.commit
     }
 
-    /// Last entry of the log.
+    /// Index of the last entry in the log.
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// Last entry that is synced here.
+    /// Index of the last entry synced to the local disk.
     pub fn durable(&self) -> LogIndex {
         self.sync.durable()
     }
 
-    /// Who may vote, as far as is committed here.
-    pub fn seats(&self) -> &[MemberSeat] {
+    /// Voter seats as of the last entry committed on this host.
+    pub fn seats(&self) -> &[VoterSeat] {
         &self.seats
     }
 
-    /// Whether a snapshot of the state should be taken now.
+    /// Whether the state machine should be snapshotted now.
     ///
-    /// The log may grow as large as the last snapshot first: with a fixed bound a large state
-    /// would be encoded and written again and again for a few entries each time.
+    /// The log must first grow as large as the last snapshot. With a fixed threshold, a large state
+    /// would be encoded and written again after only a few entries.
     pub fn wants_snapshot(&self) -> bool {
         let (covered, size) = self
             .snapshot
             .as_ref()
             .map_or((0, 0), |snapshot| (snapshot.meta.index.0, snapshot.data.len()));
-        let (fresh, bytes) = (self.delivered.0 - covered, self.log.bytes());
-        fresh > 0 && bytes >= size && (fresh >= SNAPSHOT_ENTRIES || bytes >= SNAPSHOT_BYTES)
+        let (uncovered, bytes) = (self.last_delivered.0 - covered, self.log.bytes());
+        uncovered > 0 && bytes >= size && (uncovered >= SNAPSHOT_ENTRIES || bytes >= SNAPSHOT_BYTES)
     }
 
-    /// Keeps `data`, the state after every entry delivered so far, and drops what it covers.
+    /// Stores `data`, the state after all delivered entries, as a snapshot and compacts the log.
     pub fn compact(&mut self, data: Vec<u8>) {
         let covered = self.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.meta.index);
-        if self.delivered == covered {
+        if self.last_delivered == covered {
             return;
         }
-        let Some(term) = self.log.term_at(self.delivered) else { return };
-        let meta = super::SnapshotMeta { index: self.delivered, term, seats: self.seats.clone() };
+        let Some(term) = self.log.term_at(self.last_delivered) else { return };
+        let meta =
+            super::SnapshotMeta { index: self.last_delivered, term, seats: self.seats.clone() };
         let snapshot = LogSnapshot { meta, data: std::sync::Arc::new(data) };
         let by_bytes = self.log.bytes() >= SNAPSHOT_BYTES;
         let trailing = if by_bytes { 0 } else { TRAILING_ENTRIES };
-        let keep_after = LogIndex(self.delivered.0.saturating_sub(trailing)).max(self.log.base());
+        let keep_after =
+            LogIndex(self.last_delivered.0.saturating_sub(trailing)).max(self.log.base());
         self.log.compact(keep_after);
         self.sync.write(StorageWrite::Snapshot { snapshot: snapshot.clone(), keep_after });
         self.snapshot = Some(snapshot);
     }
 
-    /// How many seats make a majority.
+    /// Number of voters that form a majority.
     pub(super) fn majority(&self) -> usize {
         match self.membership {
             MembershipMode::Fixed => self.members.len() / 2 + 1,
@@ -341,15 +346,15 @@
         }
     }
 
-    pub(super) fn delay_election(&mut self, now: TimePoint) {
+    pub(super) fn reset_election_timer(&mut self, now: TimePoint) {
         let base = u64::try_from(self.times.election.as_micros()).unwrap_or(u64::MAX);
         let wait = self.random.random_range(base..base * 2);
-        self.election_at = now.after(Duration::from_micros(wait));
+        self.election_deadline = now.after(Duration::from_micros(wait));
     }
 
-    pub(super) fn write_hard(&mut self) {
+    pub(super) fn write_hard_state(&mut self) {
         self.hard.commit = self.commit;
-        self.sync.write_hard(StorageWrite::Hard(self.hard.clone()));
+        self.sync.write_hard_state(StorageWrite::Hard(self.hard.clone()));
     }
 
     pub(super) fn message(&self, body: PeerBody) -> PeerMessage {
@@ -362,15 +367,15 @@
         self.output.messages.push((to, message));
     }
 
-    /// Sends `body` once `ticket` is synced.
+    /// Sends `body` after the batch with `ticket` is synced.
     pub(super) fn send_after(&mut self, ticket: u64, to: NodeName, body: PeerBody) {
         let message = self.message(body);
-        if let Some(free) = self.sync.hold(ticket, to, message) {
-            self.output.messages.push(free);
+        if let Some(released) = self.sync.defer(ticket, to, message) {
+            self.output.messages.push(released);
         }
     }
 
-    /// Takes `index` as committed and delivers what that covers.
+    /// Advances the commit index to `index` and delivers the newly committed entries.
     pub(super) fn commit_to(&mut self, index: LogIndex) {
         if index > self.commit {
             self.commit = index.min(self.log.last_index());
@@ -378,37 +383,37 @@
         }
     }
 
-    /// Goes on from a snapshot that replaced the log.
+    /// Continues from a snapshot that replaced the log.
     pub(super) fn restore(&mut self, snapshot: LogSnapshot) {
         self.commit = snapshot.meta.index;
-        self.delivered = snapshot.meta.index;
+        self.last_delivered = snapshot.meta.index;
         self.seats.clone_from(&snapshot.meta.seats);
         self.snapshot = Some(snapshot.clone());
         self.output.deliveries.push(LogDelivery::Restore(snapshot));
     }
 
     fn deliver(&mut self) {
-        while self.delivered < self.commit {
-            let Some(entry) = self.log.get(self.delivered.next()).cloned() else { return };
-            self.delivered = entry.index;
+        while self.last_delivered < self.commit {
+            let Some(entry) = self.log.get(self.last_delivered.next()).cloned() else { return };
+            self.last_delivered = entry.index;
             match &entry.payload {
                 EntryPayload::Admit(seat) => {
-                    self.seat(seat.clone());
-                    self.hurry_beat();
+                    self.grant_seat(seat.clone());
+                    self.request_heartbeat();
                 }
                 EntryPayload::Dismiss(node) => {
-                    self.unseat(node);
-                    self.hurry_beat();
+                    self.revoke_seat(node);
+                    self.request_heartbeat();
                 }
                 EntryPayload::Blank | EntryPayload::Command(_) => {}
             }
-            let token = self.take_token(&entry);
+            let token = self.pop_proposal_token(&entry);
             self.output.deliveries.push(LogDelivery::Entry(CommittedEntry { entry, token }));
         }
     }
 }
 
-/// The log in memory: entries that follow the snapshot or reach back before it without a gap.
+/// Builds the in-memory log from the entries that connect to the snapshot without a gap.
 fn rebuild_log(snapshot: Option<&LogSnapshot>, entries: Vec<super::LogEntry>) -> EntryLog {
     let covered = snapshot.map(|snapshot| (snapshot.meta.index, snapshot.meta.term));
     let (base, term) = covered.unwrap_or_default();
--- a/crates/control/src/agreement/election.rs
+++ b/crates/control/src/agreement/election.rs
@@ -1,77 +1,79 @@
-//! Elections: pre-vote, vote, and the end of a leadership.
+//! Leader election: pre-vote, vote and stepping down.
 
 use briartray_model::TimePoint;
 use briartray_model::names::NodeName;
 
 use super::core::{AgreementCore, RoleState};
-use super::lead::LeadState;
+use super::leader::LeaderState;
 use super::{EntryPayload, FolderId, PeerBody, PeerMessage, VoteCall};
 use briartray_model::names::TermNumber;
 
 impl AgreementCore {
-    /// Brings the term in line with `message`; `false` when the message is to be dropped.
-    pub(super) fn accept_term(&mut self, now: TimePoint, message: &PeerMessage) -> bool {
+    /// Updates the local term from `message`; returns `false` if the message must be dropped.
+    pub(super) fn reconcile_term(&mut self, now: TimePoint, message: &PeerMessage) -> bool {
         match &message.body {
             PeerBody::Hello | PeerBody::Welcome { .. } => return true,
-            // The term of a pre-vote is only proposed, and so is that of a granted answer.
+            // A pre-vote request and a granted reply carry a proposed term only.
             PeerBody::PreVote(_) | PeerBody::PreVoteReply { granted: true } => return true,
-            // A host that hears a leader leaves it alone: the caller may only have been cut off.
-            PeerBody::Vote(_) if self.hears_leader(now) => return false,
+            // Ignore vote requests while a leader is active: the candidate may just be partitioned.
+            PeerBody::Vote(_) if self.has_live_leader(now) => return false,
             _ => {}
         }
         if message.term > self.hard.term {
             self.step_down(now, message.term);
         } else if message.term < self.hard.term {
-            self.answer_stale(message);
+            self.reject_stale_term(message);
             return false;
         }
         true
     }
 
-    /// Tells a leader or candidate of an older term that the term is over.
-    fn answer_stale(&mut self, message: &PeerMessage) {
+    /// Informs a leader or candidate of an older term that its term has ended.
+    fn reject_stale_term(&mut self, message: &PeerMessage) {
         let reply = match &message.body {
             PeerBody::Append(_) | PeerBody::Install(_) | PeerBody::Vote(_) => {
                 PeerBody::VoteReply { granted: false }
             }
             _ => return,
         };
-        // The term must be synced before anyone hears of it.
-        self.send_after(self.sync.hard_ticket(), message.from.clone(), reply);
+        // The term must be synced before it is sent to another host.
+        self.send_after(self.sync.hard_state_ticket(), message.from.clone(), reply);
     }
 
-    /// Whether a leader was heard within the shortest election timeout, or this host leads.
-    pub(super) fn hears_leader(&self, now: TimePoint) -> bool {
+    /// Whether this host leads, or has heard from a leader within the minimum election timeout.
+    pub(super) fn has_live_leader(&self, now: TimePoint) -> bool {
         match &self.role {
             RoleState::Leading(_) => true,
             _ => {
                 self.leader.is_some()
-                    && self.leader_heard.is_some_and(|at| now.since(at) < self.times.election)
+                    && self
+                        .last_leader_contact
+                        .is_some_and(|at| now.since(at) < self.times.election)
             }
         }
     }
 
-    /// Follows in `term`; loses leadership with everything that waits for it.
+    /// Becomes a follower in `term`. A former leader fails its pending proposals and reads.
     pub(super) fn step_down(&mut self, now: TimePoint, term: TermNumber) {
         if term > self.hard.term {
             self.hard.term = term;
             self.hard.voted = None;
-            self.write_hard();
+            self.write_hard_state();
         }
-        let before = std::mem::replace(&mut self.role, RoleState::Following);
-        if let RoleState::Leading(lead) = before {
-            log::info!(term = self.hard.term.0; "leadership ended");
-            self.output.lost.extend(lead.proposals.into_iter().map(|proposal| proposal.token));
-            self.output.unconfirmed.extend(lead.reads.into_iter().map(|read| read.token));
+        let previous = std::mem::replace(&mut self.role, RoleState::Following);
+        if let RoleState::Leading(state) = previous {
+            log::info!(term = self.hard.term.0; "stepped down; pending proposals and reads fail");
+            self.output.lost.extend(state.proposals.into_iter().map(|proposal| proposal.token));
+            self.output.unconfirmed.extend(state.reads.into_iter().map(|read| read.token));
             self.output.unconfirmed.append(&mut self.output.confirmed);
-            self.delay_election(now);
+            self.reset_election_timer(now);
         }
         self.leader = None;
     }
 
     pub(super) fn start_pre_vote(&mut self, now: TimePoint) {
         self.leader = None;
-        self.delay_pre_vote(now);
+        self.schedule_pre_vote(now);
         self.role = RoleState::PreVoting(vec![self.node.clone()]);
         if self.majority() == 1 {
             return self.start_vote(now);
@@ -84,21 +86,21 @@
         }
     }
 
-    pub(super) fn answer_pre_vote(
+    pub(super) fn handle_pre_vote(
         &mut self,
         now: TimePoint,
         from: NodeName,
         term: TermNumber,
         call: &VoteCall,
     ) {
-        let granted = self.has_seat()
+        let granted = self.is_self_voter()
             && term > self.hard.term
-            && !self.hears_leader(now)
+            && !self.has_live_leader(now)
             && self.is_up_to_date(call)
-            && !self.goes_before(&from, call);
+            && !self.outranks_candidate(&from, call);
         if granted && matches!(self.role, RoleState::PreVoting(_)) {
             self.role = RoleState::Following;
-            self.delay_pre_vote(now);
+            self.schedule_pre_vote(now);
         }
         let mut message = self.message(PeerBody::PreVoteReply { granted });
         if granted {
@@ -107,18 +109,19 @@
         self.output.messages.push((from, message));
     }
 
-    /// Whether this host asks for a pre-vote itself and is not to give way to `from`.
+    /// Whether this host is itself in a pre-vote and takes precedence over `from`.
     ///
-    /// Two hosts that start together ask at the same moment. If each granted the other its wish, both would
-    /// vote for themselves, and nobody would lead until the next election timeout. So the one whose name comes
-    /// first goes on, unless the other has a newer log.
-    fn goes_before(&self, from: &NodeName, call: &VoteCall) -> bool {
+    /// Two hosts that start together request pre-votes at the same moment. If each granted the
+    /// other's request, both would then vote for themselves and the election would fail until the
+    /// next timeout. The host whose name sorts first therefore continues, unless the other one has
+    /// a newer log.
+    fn outranks_candidate(&self, from: &NodeName, call: &VoteCall) -> bool {
         let own = self.vote_call();
         let newer = (call.last_term, call.last_index) > (own.last_term, own.last_index);
         matches!(self.role, RoleState::PreVoting(_)) && !newer && self.node < *from
     }
 
-    pub(super) fn take_pre_vote(
+    pub(super) fn handle_pre_vote_reply(
         &mut self,
         now: TimePoint,
         from: NodeName,
@@ -126,10 +129,10 @@
         term: TermNumber,
         granted: bool,
     ) {
-        let wanted = granted && term == self.hard.term.next() && self.is_seat(&from, folder);
+        let counts = granted && term == self.hard.term.next() && self.is_voter(&from, folder);
         let majority = self.majority();
         let RoleState::PreVoting(votes) = &mut self.role else { return };
-        if wanted && count_in(votes, from) >= majority {
+        if counts && add_vote(votes, from) >= majority {
             self.start_vote(now);
         }
     }
@@ -137,43 +140,45 @@
     fn start_vote(&mut self, now: TimePoint) {
         self.hard.term = self.hard.term.next();
         self.hard.voted = Some(self.node.clone());
-        self.write_hard();
-        self.delay_election(now);
-        // The own vote counts once it is synced.
+        self.write_hard_state();
+        self.reset_election_timer(now);
+        // The host's own vote counts only after it is synced.
         self.role = RoleState::Voting(Vec::new());
         let call = self.vote_call();
-        let ticket = self.sync.current();
+        let ticket = self.sync.pending_ticket();
         for peer in self.peers() {
             self.send_after(ticket, peer, PeerBody::Vote(call.clone()));
         }
     }
 
-    pub(super) fn answer_vote(&mut self, now: TimePoint, from: NodeName, call: &VoteCall) {
-        let free = self.hard.voted.as_ref().is_none_or(|voted| *voted == from);
-        let granted = self.has_seat() && free && self.is_up_to_date(call);
+    pub(super) fn handle_vote(&mut self, now: TimePoint, from: NodeName, call: &VoteCall) {
+        let may_vote_for = self.hard.voted.as_ref().is_none_or(|voted| *voted == from);
+        let granted = self.is_self_voter() && may_vote_for && self.is_up_to_date(call);
         if granted && self.hard.voted.is_none() {
             self.hard.voted = Some(from.clone());
-            self.write_hard();
-            self.delay_election(now);
+            self.write_hard_state();
+            self.reset_election_timer(now);
         }
-        self.send_after(self.sync.hard_ticket(), from, PeerBody::VoteReply { granted });
+        self.send_after(self.sync.hard_state_ticket(), from, PeerBody::VoteReply { granted });
     }
 
-    pub(super) fn take_vote(
+    pub(super) fn handle_vote_reply(
         &mut self,
         now: TimePoint,
         from: NodeName,
         folder: FolderId,
         granted: bool,
     ) {
-        if granted && self.is_seat(&from, folder) {
+        if granted && self.is_voter(&from, folder) {
             self.count_vote(now, from);
         }
     }
 
-    /// Counts the own vote once it is synced.
+    /// Counts this host's own vote once it is synced.
     pub(super) fn count_own_vote(&mut self, now: TimePoint) {
-        if matches!(self.role, RoleState::Voting(_)) && self.sync.is_done(self.sync.hard_ticket()) {
+        if matches!(self.role, RoleState::Voting(_))
+            && self.sync.is_synced(self.sync.hard_state_ticket())
+        {
             self.count_vote(now, self.node.clone());
         }
     }
@@ -181,17 +186,21 @@
     fn count_vote(&mut self, now: TimePoint, from: NodeName) {
         let majority = self.majority();
         let RoleState::Voting(votes) = &mut self.role else { return };
-        // Leading needs the own vote too: without it a restart could vote for somebody else.
-        if count_in(votes, from) >= majority && votes.contains(&self.node) {
-            self.lead(now);
+        // Require the own synced vote: without it, this host could vote for another one after a
+        // restart.
+        if add_vote(votes, from) >= majority && votes.contains(&self.node) {
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: TimePoint) {
-        log::info!(term = self.hard.term.0, node = self.node.as_str(); "leading the control log");
+    fn become_leader(&mut self, now: TimePoint) {
+        log::info!(
+            term = self.hard.term.0, node = self.node.as_str();
+            "became leader of the control log"
+        );
         self.leader = Some(self.node.clone());
         let first = self.log.last_index().next();
-        self.role = RoleState::Leading(LeadState::new(now, first, &self.peers()));
+        self.role = RoleState::Leading(LeaderState::new(now, first, &self.peers()));
         self.append(EntryPayload::Blank);
     }
 
@@ -203,13 +212,13 @@
         (call.last_term, call.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// The other control hosts.
+    /// All control hosts except this one.
     pub(super) fn peers(&self) -> Vec<NodeName> {
         self.members.iter().filter(|member| **member != self.node).cloned().collect()
     }
 }
 
-fn count_in(votes: &mut Vec<NodeName>, from: NodeName) -> usize {
+fn add_vote(votes: &mut Vec<NodeName>, from: NodeName) -> usize {
     if !votes.contains(&from) {
         votes.push(from);
     }
--- a/crates/control/src/agreement/follow.rs
+++ b/crates/control/src/agreement/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's side: taking entries and snapshots.
+//! The follower: appending entries and installing snapshots.
 
 use briartray_model::TimePoint;
 use briartray_model::names::{LogIndex, NodeName};
@@ -10,10 +10,10 @@
     StorageWrite,
 };
 
-/// Largest snapshot that is taken from a leader, in bytes.
+/// Maximum size of a snapshot accepted from a leader, in bytes.
 const MAX_SNAPSHOT_BYTES: u64 = 1024 * 1024 * 1024;
 
-/// A snapshot of which pieces are missing.
+/// A snapshot that has been received in part.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     meta: SnapshotMeta,
@@ -21,60 +21,65 @@
 }
 
 impl AgreementCore {
-    pub(super) fn take_append(&mut self, now: TimePoint, from: NodeName, call: AppendCall) {
-        if self.awaits_founding() || !self.follow(now, &from) {
+    pub(super) fn handle_append(&mut self, now: TimePoint, from: NodeName, call: AppendCall) {
+        if self.needs_founding_seats() || !self.accept_leader(now, &from) {
             return;
         }
         let (prev, round) = (call.prev_index, call.round);
         let reply = |matched, index| {
             PeerBody::AppendReply(AppendReply { prev_index: prev, matched, index, round })
         };
-        if let Some(next) = self.mismatch(&call) {
-            let ticket = self.sync.hard_ticket();
+        if let Some(next) = self.find_conflict(&call) {
+            let ticket = self.sync.hard_state_ticket();
             return self.send_after(ticket, from, reply(false, next));
         }
         let end = LogIndex(prev.0 + call.entries.len() as u64);
-        let wrote = self.take_entries(call.entries);
+        let appended = self.append_new_entries(call.entries);
         self.commit_to(call.commit.min(end));
-        if wrote {
-            return self.send_after(self.sync.current(), from, reply(true, end));
+        if appended {
+            return self.send_after(self.sync.pending_ticket(), from, reply(true, end));
         }
-        // Nothing new to write: what is synced by now is told at once, so that a slow disk does
-        // not make the leader believe that this host is gone.
+        // Nothing to write: acknowledge the synced part at once, so that the leader does not take
+        // this host for dead while its disk is slow.
         let synced = end.min(self.sync.durable());
-        self.send_after(self.sync.hard_ticket(), from, reply(true, synced));
+        self.send_after(self.sync.hard_state_ticket(), from, reply(true, synced));
     }
 
-    /// Whether the founding seats must be known before entries are taken.
+    /// Whether entries must be rejected until the founding seats are known.
     ///
-    /// With dynamic membership the seats follow from the founding ones and the entries: applied
-    /// to nothing, the entries would leave a host that counts other majorities than the rest.
-    fn awaits_founding(&self) -> bool {
+    /// With dynamic membership, the current seats result from the founding seats and the log
+    /// entries. Without the founding seats, this host would compute different majorities than the
+    /// others.
+    fn needs_founding_seats(&self) -> bool {
         matches!(self.membership, MembershipMode::Dynamic { .. }) && self.founding.is_none()
     }
 
-    /// Takes `from` as the leader of the current term; `false` when that cannot be.
-    fn follow(&mut self, now: TimePoint, from: &NodeName) -> bool {
+    /// Accepts `from` as leader of the current term; returns `false` if this host leads it itself.
+    fn accept_leader(&mut self, now: TimePoint, from: &NodeName) -> bool {
         if matches!(self.role, RoleState::Leading(_)) {
-            log::error!(from = from.as_str(); "two leaders in one term; check for copied data folders");
+            log::error!(
+                from = from.as_str();
+                "rejected a second leader in the same term; check for copied data folders"
+            );
             return false;
         }
         self.role = RoleState::Following;
         self.leader = Some(from.clone());
-        self.leader_heard = Some(now);
-        self.delay_election(now);
+        self.last_leader_contact = Some(now);
+        self.reset_election_timer(now);
         if self.hard.voted.is_none() {
-            // Whoever follows in a term votes for nobody else in it, also after a restart.
+            // After following a leader, do not vote for another host in this term, even after a
+            // restart.
             self.hard.voted = Some(from.clone());
-            self.write_hard();
+            self.write_hard_state();
         }
         true
     }
 
-    /// Where the leader may try next, when the entry before the sent ones is not held.
-    fn mismatch(&self, call: &AppendCall) -> Option<LogIndex> {
+    /// Index from which the leader should continue if the previous entry does not match.
+    fn find_conflict(&self, call: &AppendCall) -> Option<LogIndex> {
         if call.prev_index < self.log.base() || call.prev_index <= self.commit {
-            // Committed here, so it is the same entry.
+            // Committed on this host, so it is the same entry as the leader's.
             return None;
         }
         match self.log.term_at(call.prev_index) {
@@ -87,9 +92,9 @@
         }
     }
 
-    /// Adds what is new; tells whether anything was.
-    fn take_entries(&mut self, entries: Vec<LogEntry>) -> bool {
-        let mut fresh = Vec::new();
+    /// Appends the new entries after removing conflicting ones; returns whether any were appended.
+    fn append_new_entries(&mut self, entries: Vec<LogEntry>) -> bool {
+        let mut new_entries = Vec::new();
         for entry in entries {
             if entry.index <= self.commit || entry.index <= self.log.base() {
                 continue;
@@ -104,31 +109,41 @@
                 None => {}
             }
             self.log.push(entry.clone());
-            fresh.push(entry);
+            new_entries.push(entry);
         }
-        if fresh.is_empty() {
+        if new_entries.is_empty() {
             return false;
         }
-        self.sync.write(StorageWrite::Append(fresh));
+        self.sync.write(StorageWrite::Append(new_entries));
         true
     }
 
-    pub(super) fn take_install(&mut self, now: TimePoint, from: NodeName, call: InstallCall) {
-        if self.awaits_founding() || !self.follow(now, &from) {
+    pub(super) fn handle_install(&mut self, now: TimePoint, from: NodeName, call: InstallCall) {
+        if self.needs_founding_seats() || !self.accept_leader(now, &from) {
             return;
         }
         let (index, round) = (call.meta.index, call.round);
         if index <= self.commit {
             self.incoming = None;
             let synced = index.min(self.sync.durable());
-            return self.answer_installed(self.sync.hard_ticket(), from, index, synced, round);
+            return self.acknowledge_snapshot(
+                self.sync.hard_state_ticket(),
+                from,
+                index,
+                synced,
+                round,
+            );
         }
         if call.total > MAX_SNAPSHOT_BYTES {
-            log::error!(bytes = call.total; "a snapshot is too large; reduce what control holds");
+            log::error!(
+                bytes = call.total;
+                "rejected a snapshot over the size limit; reduce the amount of control state"
+            );
             return;
         }
-        let same = self.incoming.as_ref().is_some_and(|incoming| incoming.meta == call.meta);
-        if !same {
+        let is_same_snapshot =
+            self.incoming.as_ref().is_some_and(|incoming| incoming.meta == call.meta);
+        if !is_same_snapshot {
             self.incoming = Some(IncomingSnapshot { meta: call.meta, data: Vec::new() });
         }
         let Some(incoming) = &mut self.incoming else { return };
@@ -138,13 +153,13 @@
         let offset = incoming.data.len() as u64;
         if offset < call.total {
             let reply = PeerBody::InstallReply { index, offset, round };
-            return self.send_after(self.sync.hard_ticket(), from, reply);
+            return self.send_after(self.sync.hard_state_ticket(), from, reply);
         }
-        self.install();
-        self.answer_installed(self.sync.current(), from, index, index, round);
+        self.install_snapshot();
+        self.acknowledge_snapshot(self.sync.pending_ticket(), from, index, index, round);
     }
 
-    fn answer_installed(
+    fn acknowledge_snapshot(
         &mut self,
         ticket: u64,
         to: NodeName,
@@ -156,14 +171,17 @@
         self.send_after(ticket, to, PeerBody::AppendReply(reply));
     }
 
-    fn install(&mut self) {
+    fn install_snapshot(&mut self) {
         let Some(IncomingSnapshot { meta, data }) = self.incoming.take() else { return };
-        log::info!(index = meta.index.0, bytes = data.len(); "snapshot installed");
+        log::info!(
+            index = meta.index.0, bytes = data.len();
+            "installed a snapshot from the leader"
+        );
         self.sync.truncate(self.commit.next());
         self.log = EntryLog::after(meta.index, meta.term);
         let snapshot = LogSnapshot { meta, data: std::sync::Arc::new(data) };
         self.sync.write(StorageWrite::Install(snapshot.clone()));
         self.restore(snapshot);
-        self.write_hard();
+        self.write_hard_state();
     }
 }
--- a/crates/control/src/agreement/log.rs
+++ b/crates/control/src/agreement/log.rs
@@ -1,4 +1,4 @@
-//! The part of the log that is held in memory: what follows the last compaction.
+//! The in-memory part of the log, after the last compaction.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use super::{EntryPayload, LogEntry};
 
-/// Entries after `base`, without gaps.
+/// Contiguous log entries after `base`.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EntryLog {
     base: LogIndex,
@@ -16,12 +16,12 @@
 }
 
 impl EntryLog {
-    /// An empty log after the entry at `base`.
+    /// Creates an empty log that continues after the entry at `base`.
     pub(super) fn after(base: LogIndex, base_term: TermNumber) -> Self {
         Self { base, base_term, ..Self::default() }
     }
 
-    /// The entry before the first one held.
+    /// Index of the entry before the first one in memory.
     pub(super) fn base(&self) -> LogIndex {
         self.base
     }
@@ -34,12 +34,12 @@
         self.entries.back().map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Bytes held, roughly.
+    /// Approximate memory use of the entries, in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Term of the entry at `index`; `None` when it is not held.
+    /// Term of the entry at `index`; `None` if it is not in memory.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<TermNumber> {
         if index == self.base {
             return Some(self.base_term);
@@ -52,14 +52,14 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Adds the entry that follows the last one.
+    /// Appends the entry that follows the last one.
     pub(super) fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last_index().next());
         self.bytes += entry_bytes(&entry);
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes all entries from `index` on.
     pub(super) fn truncate(&mut self, index: LogIndex) {
         while self.last_index() >= index {
             let Some(entry) = self.entries.pop_back() else { return };
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Drops the entries up to `index`.
+    /// Removes all entries up to and including `index`.
     pub(super) fn compact(&mut self, index: LogIndex) {
         while self.base < index {
             let Some(entry) = self.entries.pop_front() else { return };
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Entries from `from` on, as many as fit into `limit` bytes, at least one.
+    /// Entries from `from` on, up to `limit` bytes in total but at least one.
     pub(super) fn slice(&self, from: LogIndex, limit: usize) -> Vec<LogEntry> {
         let mut used = 0;
         let mut entries = Vec::new();
@@ -93,7 +93,7 @@
         entries
     }
 
-    /// First index of the run of entries that share the term of `index`.
+    /// First index of the run of entries that have the same term as the entry at `index`.
     pub(super) fn first_of_term(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
@@ -104,11 +104,13 @@
     }
 }
 
-/// Size of an entry as counted against limits.
+/// Size of an entry as counted against the limits, in bytes.
 pub(super) fn entry_bytes(entry: &LogEntry) -> usize {
-    const OVERHEAD: usize = 64;
+    const ENTRY_OVERHEAD_BYTES: usize = 64;
     match &entry.payload {
-        EntryPayload::Command(data) => OVERHEAD + data.len(),
-        EntryPayload::Blank | EntryPayload::Admit(_) | EntryPayload::Dismiss(_) => OVERHEAD,
+        EntryPayload::Command(data) => ENTRY_OVERHEAD_BYTES + data.len(),
+        EntryPayload::Blank | EntryPayload::Admit(_) | EntryPayload::Dismiss(_) => {
+            ENTRY_OVERHEAD_BYTES
+        }
     }
 }
--- a/crates/control/src/agreement/membership.rs
+++ b/crates/control/src/agreement/membership.rs
@@ -1,9 +1,10 @@
-//! Voters that are added and removed through the log, one at a time.
+//! Dynamic membership: adding and removing voters through the log, one at a time.
 //!
-//! Two sets of voters that differ by one host share a host in any two of their majorities, so no
-//! two leaders can be elected in one term while the change spreads. Two changes at once would
-//! break that: a new one is proposed only when the one before is committed and the leader has
-//! committed an entry of its own term, which settles changes that an earlier leader left open.
+//! If two voter sets differ by one host, any majority of one overlaps any majority of the other, so
+//! two leaders cannot be elected in one term while the change is being replicated. Two concurrent
+//! changes would break this. A change is therefore proposed only after the previous one is
+//! committed and the leader has committed an entry of its own term, which also settles changes
+//! that an earlier leader left open.
 
 use briartray_model::TimePoint;
 use briartray_model::names::NodeName;
@@ -13,28 +14,29 @@
 use super::progress::PeerProgress;
 
 impl AgreementCore {
-    /// Founds the log with this host as its only voter; `false` when the folder has a past.
+    /// Bootstraps the log with this host as its only voter; returns `false` if the folder is in
+    /// use.
     ///
-    /// The caller sees to it that only one host does this in the life of a deployment: two logs
-    /// would both accept changes, and one of them would lose its own.
+    /// The caller must ensure that only one host ever does this in a deployment. Otherwise two logs
+    /// would both accept changes, and the changes of one of them would be lost.
     pub fn found_alone(&mut self, now: TimePoint) -> bool {
-        if !self.may_found() {
+        if !self.is_pristine() {
             return false;
         }
-        let seat = super::MemberSeat { node: self.node.clone(), folder: self.folder };
-        self.found(now, vec![seat]);
-        self.election_at = now;
+        let seat = super::VoterSeat { node: self.node.clone(), folder: self.folder };
+        self.record_founding(now, vec![seat]);
+        self.election_deadline = now;
         true
     }
 
-    /// Whether the folder has taken part in anything.
+    /// Whether the data folder holds a vote, entries, a snapshot or the founding seats.
     pub fn has_past(&self) -> bool {
-        !self.may_found()
+        !self.is_pristine()
     }
 
-    /// Lets `nodes` take part: they are sent the log, and get a seat while voters are missing.
+    /// Sets the hosts to replicate to; they get voter seats while there are fewer than the target.
     ///
-    /// Seated hosts stay known whether or not they are named.
+    /// Hosts that hold a seat remain members even if `nodes` does not list them.
     pub fn set_peers(&mut self, now: TimePoint, nodes: &[NodeName]) {
         let seated = self.seats.iter().map(|seat| seat.node.clone());
         let mut members: Vec<NodeName> = nodes.iter().cloned().chain(seated).collect();
@@ -43,81 +45,85 @@
         members.dedup();
         self.members = members;
         let (peers, next) = (self.peers(), self.log.last_index().next());
-        let RoleState::Leading(lead) = &mut self.role else { return };
+        let RoleState::Leading(state) = &mut self.role else { return };
         for peer in &peers {
-            lead.peers.get_or_insert_with(peer.clone(), || PeerProgress::unknown(now, next));
+            state.peers.get_or_insert_with(peer.clone(), || PeerProgress::new(now, next));
         }
-        lead.peers.retain(|node, _| peers.contains(node));
+        state.peers.retain(|node, _| peers.contains(node));
     }
 
-    /// Proposes that a voter beyond the wanted number votes no longer, an absent one first.
+    /// Proposes to remove one voter while there are more than the target, absent ones first.
     ///
-    /// A host that was only away and comes back to find itself replaced takes part as any other.
+    /// A host that was replaced while it was away may rejoin like any other host.
     pub fn trim_seats(&mut self) {
         let MembershipMode::Dynamic { voters } = self.membership else { return };
-        if self.seats.len() <= voters || !self.seats_settled() {
+        if self.seats.len() <= voters || !self.no_seat_change_pending() {
             return;
         }
-        let RoleState::Leading(lead) = &self.role else { return };
-        let absent = |node: &NodeName| lead.peers.get(node).is_some_and(|peer| peer.absent);
+        let RoleState::Leading(state) = &self.role else { return };
+        let absent = |node: &NodeName| state.peers.get(node).is_some_and(|peer| peer.absent);
         let others = || self.seats.iter().map(|seat| &seat.node).filter(|node| **node != self.node);
         let surplus = others().find(|node| absent(node)).or_else(|| others().next_back()).cloned();
         if let Some(node) = surplus {
-            log::info!(node = node.as_str(); "a voter is removed");
-            self.change_seats(EntryPayload::Dismiss(node));
+            log::info!(
+                node = node.as_str();
+                "more voters than the target; proposing to remove one"
+            );
+            self.propose_seat_change(EntryPayload::Dismiss(node));
         }
     }
 
-    /// Whether a seat may be proposed for `node` now.
+    /// Whether a voter seat may be proposed for `node` now.
     ///
-    /// A voter with a new folder takes its old seat; any other host is added only while voters
-    /// are missing or one of them is about to be replaced.
-    pub(super) fn may_admit(&self, node: &NodeName) -> bool {
+    /// A voter with a new data folder keeps its seat. Any other host is added only if there are
+    /// fewer voters than the target or an absent voter is to be replaced.
+    pub(super) fn may_grant_seat(&self, node: &NodeName) -> bool {
         let MembershipMode::Dynamic { voters } = self.membership else { return true };
         let seated = self.seats.iter().any(|seat| seat.node == *node);
-        self.seats_settled() && (seated || self.seats.len() < voters + self.absent_seats())
+        self.no_seat_change_pending()
+            && (seated || self.seats.len() < voters + self.count_absent_voters())
     }
 
-    /// Seats whose host is no longer among those that take part.
-    fn absent_seats(&self) -> usize {
-        let RoleState::Leading(lead) = &self.role else { return 0 };
-        let absent = |node: &NodeName| lead.peers.get(node).is_some_and(|peer| peer.absent);
+    /// Number of voters that are marked absent.
+    fn count_absent_voters(&self) -> usize {
+        let RoleState::Leading(state) = &self.role else { return 0 };
+        let absent = |node: &NodeName| state.peers.get(node).is_some_and(|peer| peer.absent);
         self.seats.iter().filter(|seat| absent(&seat.node)).count()
     }
 
-    /// Notes whether `node` counts as gone, so that another host may be added in its stead.
+    /// Marks `node` as absent or present; another host may replace an absent voter.
     pub fn mark_absent(&mut self, node: &NodeName, absent: bool) {
-        let RoleState::Leading(lead) = &mut self.role else { return };
-        if let Some(peer) = lead.peers.get_mut(node) {
+        let RoleState::Leading(state) = &mut self.role else { return };
+        if let Some(peer) = state.peers.get_mut(node) {
             peer.absent = absent;
         }
     }
 
-    /// Proposes a change of the seats and remembers where it stands.
-    pub(super) fn change_seats(&mut self, payload: EntryPayload) {
+    /// Proposes a seat change and records its index.
+    pub(super) fn propose_seat_change(&mut self, payload: EntryPayload) {
         let index = self.log.last_index().next();
-        if let RoleState::Leading(lead) = &mut self.role {
-            lead.seat_change = index;
+        if let RoleState::Leading(state) = &mut self.role {
+            state.seat_change_index = index;
         }
         self.append(payload);
     }
 
-    /// Lets the voters know of a change at once: until they do, they count other majorities than
-    /// the leader, and could elect none without it.
-    pub(super) fn hurry_beat(&mut self) {
-        if let RoleState::Leading(lead) = &mut self.role {
-            lead.beat_due = true;
+    /// Schedules an immediate heartbeat after a seat change. Until the voters know of the change,
+    /// they compute majorities differently from the leader and could not elect a leader without it.
+    pub(super) fn request_heartbeat(&mut self) {
+        if let RoleState::Leading(state) = &mut self.role {
+            state.heartbeat_due = true;
         }
     }
 
-    pub(super) fn unseat(&mut self, node: &NodeName) {
+    pub(super) fn revoke_seat(&mut self, node: &NodeName) {
         self.seats.retain(|seat| seat.node != *node);
-        self.write_hard();
+        self.write_hard_state();
     }
 
-    /// Whether no change of the seats is under way.
-    fn seats_settled(&self) -> bool {
-        let RoleState::Leading(lead) = &self.role else { return false };
-        self.commit >= lead.first && self.commit >= lead.seat_change
+    /// Whether the last seat change and an entry of the current term are committed.
+    fn no_seat_change_pending(&self) -> bool {
+        let RoleState::Leading(state) = &self.role else { return false };
+        self.commit >= state.term_start_index && self.commit >= state.seat_change_index
     }
 }
--- a/crates/control/src/agreement/message.rs
+++ b/crates/control/src/agreement/message.rs
@@ -1,4 +1,4 @@
-//! What control hosts tell each other, and what each of them keeps.
+//! Messages between control hosts and the state that each of them persists.
 
 use std::sync::Arc;
 
@@ -6,184 +6,184 @@
 use briartray_model::{plain_choice, plain_value};
 
 plain_choice! {
-    /// Random identity of one data folder; a wiped folder comes back with another one.
+    /// Random id of a data folder; a folder that was wiped gets a new one.
     #[derive(Default)]
     pub struct FolderId(pub u64);
 }
 
 plain_value! {
-    /// A control host together with the data folder that may vote in its name.
-    pub struct MemberSeat {
-        /// The control host.
+    /// A voter: a control host together with the data folder that may vote for it.
+    pub struct VoterSeat {
+        /// Name of the control host.
         pub node: NodeName,
-        /// Its data folder.
+        /// Id of its data folder.
         pub folder: FolderId,
     }
 
-    /// What one log entry holds.
+    /// Payload of a log entry.
     pub enum EntryPayload {
-        /// Nothing: the first entry of a leader, by which earlier ones become committed.
+        /// No operation: the first entry of a term, which commits entries of earlier terms.
         Blank,
-        /// A new data folder may vote in its host's name.
-        Admit(MemberSeat),
-        /// A host votes no longer.
+        /// Adds a voter, or replaces the data folder of an existing one.
+        Admit(VoterSeat),
+        /// Removes a voter.
         Dismiss(NodeName),
-        /// An encoded command.
+        /// An encoded state machine command.
         Command(Vec<u8>),
     }
 
     /// One entry of the log.
     pub struct LogEntry {
-        /// Its position.
+        /// Position in the log.
         pub index: LogIndex,
-        /// Term of the leader that proposed it.
+        /// Term in which the entry was proposed.
         pub term: TermNumber,
-        /// What it holds.
+        /// Content of the entry.
         pub payload: EntryPayload,
     }
 
-    /// What must be synced before a vote or an answer in a new term leaves the host.
+    /// Persistent state that must be synced before a vote or a reply in a new term is sent.
     #[derive(Default)]
     pub struct HardState {
         /// Highest term seen.
         pub term: TermNumber,
-        /// Who got the vote of that term, or led it.
+        /// Host that received this host's vote in the term, or the leader that it followed.
         pub voted: Option<NodeName>,
-        /// Entries up to here were committed; may lag behind.
+        /// Index of the last entry known to be committed; may lag behind.
         pub commit: LogIndex,
     }
 
-    /// Where a snapshot stands in the log.
+    /// Position of a snapshot in the log.
     pub struct SnapshotMeta {
-        /// Last entry that it covers.
+        /// Index of the last entry included.
         pub index: LogIndex,
         /// Term of that entry.
         pub term: TermNumber,
-        /// Who may vote as of that entry.
-        pub seats: Vec<MemberSeat>,
+        /// Voter seats as of that entry.
+        pub seats: Vec<VoterSeat>,
     }
 
     /// A message between control hosts.
     pub struct PeerMessage {
-        /// The sending host.
+        /// Sending host.
         pub from: NodeName,
-        /// Its data folder.
+        /// Data folder of the sender.
         pub folder: FolderId,
-        /// Its term; the proposed one in a pre-vote.
+        /// Term of the sender; the proposed term in a pre-vote.
         pub term: TermNumber,
-        /// What it says.
+        /// Content of the message.
         pub body: PeerBody,
     }
 
-    /// The kinds of message.
+    /// Kinds of messages between control hosts.
     pub enum PeerBody {
-        /// A host without a seat looks for the others.
+        /// A host without a voter seat looks for the other hosts.
         Hello,
-        /// Answer to a hello: who founded the cluster; `None` from a host without a seat.
+        /// Reply to a hello with the founding seats; `None` if the sender does not know them.
         Welcome {
-            /// Folder of the host that said hello.
+            /// Data folder of the host that sent the hello.
             caller: FolderId,
-            /// The founding seats.
-            founding: Option<Vec<MemberSeat>>,
+            /// The founding seats, if known.
+            founding: Option<Vec<VoterSeat>>,
         },
-        /// Would you vote for me in this term? Changes nothing.
+        /// Asks whether the receiver would vote for the sender; changes no state.
         PreVote(VoteCall),
-        /// Answer to a pre-vote.
+        /// Reply to a pre-vote.
         PreVoteReply {
-            /// Whether the vote would be given.
+            /// Whether the vote would be granted.
             granted: bool,
         },
-        /// Vote for me.
+        /// Requests the receiver's vote.
         Vote(VoteCall),
-        /// Answer to a vote call.
+        /// Reply to a vote request.
         VoteReply {
-            /// Whether the vote is given.
+            /// Whether the vote is granted.
             granted: bool,
         },
-        /// Entries of the leader, or none as a heartbeat.
+        /// Replicates entries, or serves as a heartbeat if there are none.
         Append(AppendCall),
-        /// Answer to entries or a heartbeat.
+        /// Reply to an append request or heartbeat.
         AppendReply(AppendReply),
-        /// A piece of a snapshot.
+        /// One chunk of a snapshot.
         Install(InstallCall),
-        /// Answer to a piece.
+        /// Reply to a snapshot chunk.
         InstallReply {
-            /// The snapshot's last entry.
+            /// Index of the last entry in the snapshot.
             index: LogIndex,
-            /// Where the next piece starts.
+            /// Byte offset of the next chunk.
             offset: u64,
-            /// Round of the piece.
+            /// Round of the chunk.
             round: u64,
         },
     }
 
-    /// How far a candidate's log goes.
+    /// A vote request with the position of the candidate's log.
     pub struct VoteCall {
-        /// Its last entry.
+        /// Index of its last entry.
         pub last_index: LogIndex,
         /// Term of that entry.
         pub last_term: TermNumber,
     }
 
-    /// Entries of the leader.
+    /// An append request.
     pub struct AppendCall {
-        /// Entry before the first one sent.
+        /// Index of the entry that precedes `entries`.
         pub prev_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         pub prev_term: TermNumber,
-        /// The entries, in order.
+        /// Entries to append, in order.
         pub entries: Vec<LogEntry>,
-        /// What the leader knows as committed.
+        /// Commit index of the leader.
         pub commit: LogIndex,
-        /// Round of the leader; echoed, so that an answer is known to be later than a read.
+        /// Round of the leader; echoed in the reply to confirm pending reads.
         pub round: u64,
     }
 
-    /// What a follower made of entries.
+    /// Reply to an append request.
     pub struct AppendReply {
-        /// The entry that the leader thought to be held.
+        /// The `prev_index` of the request.
         pub prev_index: LogIndex,
-        /// Whether it is.
+        /// Whether the log matched at `prev_index`.
         pub matched: bool,
-        /// When it matched: synced up to here. Otherwise: where the leader may try next.
+        /// Last synced entry if the log matched, otherwise the index from which to continue.
         pub index: LogIndex,
-        /// Round of the call.
+        /// Round of the request.
         pub round: u64,
     }
 
-    /// A piece of a snapshot.
+    /// One chunk of a snapshot.
     pub struct InstallCall {
-        /// Where the snapshot stands.
+        /// Position of the snapshot in the log.
         pub meta: SnapshotMeta,
-        /// Where the piece starts.
+        /// Byte offset of the chunk.
         pub offset: u64,
-        /// Size of the whole.
+        /// Total size of the snapshot, in bytes.
         pub total: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         pub data: Vec<u8>,
         /// Round of the leader.
         pub round: u64,
     }
 }
 
-/// A snapshot of the state.
+/// A snapshot of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogSnapshot {
-    /// Where it stands in the log.
+    /// Position of the snapshot in the log.
     pub meta: SnapshotMeta,
     /// The encoded state.
     pub data: Arc<Vec<u8>>,
 }
 
-/// What a data folder held when the process started.
+/// Contents of a data folder at process start.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RecoveredState {
-    /// Term, vote and commit.
+    /// Term, vote and commit index.
     pub hard: HardState,
-    /// Who founded the cluster, when this host took part.
-    pub founding: Option<Vec<MemberSeat>>,
+    /// The founding seats, if known to this host.
+    pub founding: Option<Vec<VoterSeat>>,
     /// The newest snapshot.
     pub snapshot: Option<LogSnapshot>,
-    /// Entries in order; some may be covered by the snapshot.
+    /// Log entries in order; the snapshot may include some of them.
     pub entries: Vec<LogEntry>,
 }
--- a/crates/control/src/agreement/mod.rs
+++ b/crates/control/src/agreement/mod.rs
@@ -1,13 +1,15 @@
-//! The replicated log: one leader a term, commands committed by a majority of control hosts.
+//! The replicated log: a Raft-style consensus protocol between control hosts, with at most one
+//! leader per term and commands committed by a majority.
 //!
-//! [`AgreementCore`] is stepped: it is told the time, messages, proposals, reads and finished
-//! writes, and [`AgreementCore::drain`] hands back what follows. It opens no socket or file and
-//! reads no clock. Everything told between two drains shares one write and one sync.
+//! [`AgreementCore`] is a deterministic state machine. The caller feeds it the time, messages,
+//! proposals, reads and completed writes; [`AgreementCore::drain`] returns the resulting messages,
+//! writes and committed entries. The core opens no socket or file and reads no clock. All input
+//! between two drains shares one write and one sync.
 
 mod core;
 mod election;
-mod follow;
-mod lead;
+mod follower;
+mod leader;
 mod log;
 mod membership;
 mod message;
@@ -22,7 +24,7 @@
 };
 pub use message::{
     AppendCall, AppendReply, EntryPayload, FolderId, HardState, InstallCall, LogEntry, LogSnapshot,
-    MemberSeat, PeerBody, PeerMessage, RecoveredState, SnapshotMeta, VoteCall,
+    PeerBody, PeerMessage, RecoveredState, SnapshotMeta, VoteCall, VoterSeat,
 };
 pub use output::{
     CommittedEntry, CoreOutput, LogDelivery, ProposalRefusal, ProposalToken, ReadToken,
--- a/crates/control/src/agreement/output.rs
+++ b/crates/control/src/agreement/output.rs
@@ -1,52 +1,52 @@
-//! What follows from a step of the core.
+//! Output of the consensus state machine.
 
 use briartray_model::names::{LogIndex, NodeName};
 use briartray_model::plain_choice;
 use snafu::Snafu;
 
-use super::{HardState, LogEntry, LogSnapshot, MemberSeat, PeerMessage};
+use super::{HardState, LogEntry, LogSnapshot, PeerMessage, VoterSeat};
 
 plain_choice! {
-    /// Pairs a proposal with its outcome.
+    /// Correlates a proposal with its outcome.
     pub struct ProposalToken(pub u64);
 
-    /// Pairs a read with its confirmation.
+    /// Correlates a read with its confirmation.
     pub struct ReadToken(pub u64);
 }
 
-/// One change of the data folder.
+/// One change to the data folder.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StorageWrite {
-    /// Keep who founded the cluster.
-    Founding(Vec<MemberSeat>),
-    /// Keep term, vote and commit.
+    /// Store the founding seats.
+    Founding(Vec<VoterSeat>),
+    /// Store term, vote and commit index.
     Hard(HardState),
-    /// Drop entries from here on.
+    /// Remove all entries from this index on.
     Truncate(LogIndex),
-    /// Add entries.
+    /// Append entries.
     Append(Vec<LogEntry>),
-    /// Keep a snapshot; entries up to `keep_after` are no longer needed.
+    /// Store a snapshot; entries up to `keep_after` may be removed.
     Snapshot {
         /// The snapshot.
         snapshot: LogSnapshot,
-        /// Last entry that may go.
+        /// Last entry that may be removed.
         keep_after: LogIndex,
     },
-    /// Keep a snapshot in place of the whole log.
+    /// Store a snapshot that replaces the whole log.
     Install(LogSnapshot),
 }
 
-/// Changes that share one sync.
+/// Writes that share one sync.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WriteBatch {
-    /// Told to [`super::AgreementCore::stored`] once the changes are synced.
+    /// Passed to [`super::AgreementCore::stored`] once the writes are synced.
     pub ticket: u64,
-    /// The changes, in order.
+    /// The writes, in order.
     pub writes: Vec<StorageWrite>,
 }
 
 impl WriteBatch {
-    /// With `more` added, entries to those before them, so that they share one sync.
+    /// Appends the writes of `more`, so that both batches share one sync.
     #[must_use]
     pub fn merged(mut self, more: Self) -> Self {
         self.ticket = more.ticket;
@@ -67,54 +67,56 @@
 pub struct CommittedEntry {
     /// The entry.
     pub entry: LogEntry,
-    /// Who proposed it, when that was this host in this term.
+    /// Token of the proposal, if this host made it in this term.
     pub token: Option<ProposalToken>,
 }
 
-/// What reaches the state, in order.
+/// Input for the state machine, in log order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LogDelivery {
     /// Apply an entry.
     Entry(CommittedEntry),
-    /// Replace the state.
+    /// Replace the state with a snapshot.
     Restore(LogSnapshot),
 }
 
-/// Everything that follows from the steps since the last drain.
+/// All output since the last drain.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CoreOutput {
-    /// Messages, each with its receiver.
+    /// Messages to send, each with its receiver.
     pub messages: Vec<(NodeName, PeerMessage)>,
-    /// Changes of the data folder.
+    /// Writes to the data folder.
     pub batch: Option<WriteBatch>,
-    /// What to apply.
+    /// Committed entries and snapshots to apply.
     pub deliveries: Vec<LogDelivery>,
-    /// Proposals that were lost with leadership; whether they commit is unknown.
+    /// Proposals that failed because leadership was lost; they may still be committed.
     pub lost: Vec<ProposalToken>,
-    /// Reads that a majority confirmed; answer them after the deliveries.
+    /// Reads confirmed by a majority; answer them after applying `deliveries`.
     pub confirmed: Vec<ReadToken>,
-    /// Reads that were lost with leadership.
+    /// Reads that failed because leadership was lost.
     pub unconfirmed: Vec<ReadToken>,
 }
 
-/// Why a proposal or read was not taken; nothing of it was kept.
+/// Why a proposal or read was rejected; a rejected one has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ProposalRefusal {
-    /// Another host leads, or none does.
+    /// This host does not lead.
     #[snafu(display("this control host does not lead; ask {}", hint_text(leader.as_ref())))]
     NotLeader {
-        /// Who leads, when known.
+        /// Current leader, if known.
         leader: Option<NodeName>,
     },
-    /// Too much waits already.
-    #[snafu(display("the control log is busy; send it again in a moment"))]
+    /// Too many proposals or reads are pending.
+    #[snafu(display("too many changes or reads are pending; retry in a moment"))]
     Busy,
-    /// One proposal may not be this large.
-    #[snafu(display("a change of {size} bytes is over the limit of {limit}; send less at a time"))]
+    /// The proposal exceeds the size limit.
+    #[snafu(display(
+        "a change of {size} bytes exceeds the limit of {limit} bytes; send smaller changes"
+    ))]
     TooLarge {
-        /// Its size.
+        /// Size of the proposal, in bytes.
         size: usize,
-        /// The limit.
+        /// Maximum size, in bytes.
         limit: usize,
     },
 }
--- a/crates/control/src/agreement/progress.rs
+++ b/crates/control/src/agreement/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one other host, and how much may be on the way to it.
+//! Replication progress of one follower, and flow control towards it.
 
 use std::collections::VecDeque;
 
@@ -7,51 +7,51 @@
 
 use super::FolderId;
 
-/// Bytes of entries on the way to one host without an answer.
+/// Maximum size of unacknowledged entries per follower, in bytes.
 const MAX_IN_FLIGHT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Messages on the way to one host without an answer.
+/// Maximum number of unacknowledged messages per follower.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// How far one other host is.
+/// Replication progress of one follower.
 #[derive(Debug)]
 pub(super) struct PeerProgress {
     pub(super) folder: Option<FolderId>,
     pub(super) next: LogIndex,
     pub(super) matched: LogIndex,
-    /// Entries are sent ahead of answers; otherwise one message at a time finds the common point.
-    pub(super) streaming: bool,
+    /// Sends entries without waiting for replies; if `false`, probes one message at a time.
+    pub(super) pipelined: bool,
     pub(super) in_flight: VecDeque<(LogIndex, usize)>,
     pub(super) in_flight_bytes: usize,
-    pub(super) asked_at: Option<TimePoint>,
-    pub(super) heard_at: TimePoint,
+    pub(super) awaiting_since: Option<TimePoint>,
+    pub(super) last_contact: TimePoint,
     pub(super) round: u64,
-    pub(super) piece: Option<u64>,
-    pub(super) admitting: Option<FolderId>,
-    /// The host counts as gone for good; another one may be added in its stead.
+    pub(super) snapshot_offset: Option<u64>,
+    pub(super) pending_seat: Option<FolderId>,
+    /// The host is considered permanently gone and may be replaced.
     pub(super) absent: bool,
 }
 
 impl PeerProgress {
-    /// A host of which nothing is known, as of `now`; `first` is the next entry to be appended.
-    pub(super) fn unknown(now: TimePoint, first: LogIndex) -> Self {
+    /// Progress of a follower with unknown state as of `now`; `first` is the next entry to send.
+    pub(super) fn new(now: TimePoint, first: LogIndex) -> Self {
         Self {
             folder: None,
             next: first,
             matched: LogIndex::default(),
-            streaming: false,
+            pipelined: false,
             in_flight: VecDeque::new(),
             in_flight_bytes: 0,
-            asked_at: None,
-            heard_at: now,
+            awaiting_since: None,
+            last_contact: now,
             round: 0,
-            piece: None,
-            admitting: None,
+            snapshot_offset: None,
+            pending_seat: None,
             absent: false,
         }
     }
 
-    pub(super) fn forget_in_flight(&mut self) {
+    pub(super) fn clear_in_flight(&mut self) {
         self.in_flight.clear();
         self.in_flight_bytes = 0;
     }
@@ -68,9 +68,9 @@
         }
     }
 
-    pub(super) fn has_room(&self) -> bool {
-        if !self.streaming {
-            return self.asked_at.is_none();
+    pub(super) fn can_send(&self) -> bool {
+        if !self.pipelined {
+            return self.awaiting_since.is_none();
         }
         self.in_flight.len() < MAX_IN_FLIGHT && self.in_flight_bytes < MAX_IN_FLIGHT_BYTES
     }
--- a/crates/control/src/agreement/replicate.rs
+++ b/crates/control/src/agreement/replicate.rs
@@ -1,4 +1,4 @@
-//! Sending entries, snapshots and heartbeats to the other hosts.
+//! Sending entries, snapshots and heartbeats to followers.
 
 use briartray_model::TimePoint;
 use briartray_model::names::{LogIndex, NodeName};
@@ -7,39 +7,39 @@
 use super::log::entry_bytes;
 use super::{AppendCall, InstallCall, LogEntry, PeerBody};
 
-/// Bytes of entries in one message, unless a single entry is larger.
+/// Maximum size of the entries in one message, in bytes; a larger single entry is sent alone.
 const MAX_BATCH_BYTES: usize = 512 * 1024;
 
-/// Bytes of a snapshot in one message.
-const PIECE_BYTES: usize = 256 * 1024;
+/// Maximum size of a snapshot chunk, in bytes.
+const SNAPSHOT_CHUNK_BYTES: usize = 256 * 1024;
 
 impl AgreementCore {
-    /// Sends what the other hosts lack, and heartbeats that are due.
+    /// Sends missing entries and due heartbeats to all followers.
     pub(super) fn replicate(&mut self, now: TimePoint) {
-        let RoleState::Leading(lead) = &mut self.role else { return };
-        let reads_wait = lead.reads.back().is_some_and(|read| read.round > lead.round);
-        if reads_wait || lead.beat_due {
-            lead.round += 1;
+        let RoleState::Leading(state) = &mut self.role else { return };
+        let reads_wait = state.reads.back().is_some_and(|read| read.round > state.round);
+        if reads_wait || state.heartbeat_due {
+            state.round += 1;
         }
-        let beat = reads_wait || std::mem::take(&mut lead.beat_due);
+        let heartbeat = reads_wait || std::mem::take(&mut state.heartbeat_due);
         for node in self.peers() {
-            self.replicate_to(now, &node, beat);
+            self.replicate_to(now, &node, heartbeat);
         }
     }
 
-    fn replicate_to(&mut self, now: TimePoint, node: &NodeName, beat: bool) {
+    fn replicate_to(&mut self, now: TimePoint, node: &NodeName, heartbeat: bool) {
         let resend_after = self.times.heartbeat * 2;
         let (last, base) = (self.log.last_index(), self.log.base());
-        let RoleState::Leading(lead) = &mut self.role else { return };
-        let Some(peer) = lead.peers.get_mut(node) else { return };
-        // A lost message or answer is made up for after a while.
-        if peer.asked_at.is_some_and(|at| now.since(at) >= resend_after) {
-            peer.asked_at = None;
+        let RoleState::Leading(state) = &mut self.role else { return };
+        let Some(peer) = state.peers.get_mut(node) else { return };
+        // Assume that the message or its reply was lost, and send again.
+        if peer.awaiting_since.is_some_and(|at| now.since(at) >= resend_after) {
+            peer.awaiting_since = None;
         }
         if peer.next <= base {
-            let due = peer.asked_at.is_none();
-            if due || beat {
-                self.send_piece(now, node, due);
+            let due = peer.awaiting_since.is_none();
+            if due || heartbeat {
+                self.send_snapshot_chunk(now, node, due);
             }
             return;
         }
@@ -49,27 +49,27 @@
             self.send_append(now, node, entries);
             sent = true;
         }
-        if beat && !sent {
+        if heartbeat && !sent {
             self.send_append(now, node, Vec::new());
         }
     }
 
-    /// Where entries to `node` go on, when there is room for more.
+    /// Index of the next entry to send to `node`, if flow control allows sending.
     fn next_entries(&self, node: &NodeName) -> Option<LogIndex> {
-        let RoleState::Leading(lead) = &self.role else { return None };
-        lead.peers.get(node).filter(|peer| peer.has_room()).map(|peer| peer.next)
+        let RoleState::Leading(state) = &self.role else { return None };
+        state.peers.get(node).filter(|peer| peer.can_send()).map(|peer| peer.next)
     }
 
     fn send_append(&mut self, now: TimePoint, node: &NodeName, entries: Vec<LogEntry>) {
         let commit = self.commit;
-        let RoleState::Leading(lead) = &mut self.role else { return };
-        let round = lead.round;
-        let Some(peer) = lead.peers.get_mut(node) else { return };
+        let RoleState::Leading(state) = &mut self.role else { return };
+        let round = state.round;
+        let Some(peer) = state.peers.get_mut(node) else { return };
         let prev_index = LogIndex(peer.next.0 - 1);
         let Some(prev_term) = self.log.term_at(prev_index) else { return };
         if let Some(last) = entries.last() {
-            peer.asked_at = Some(now);
-            if peer.streaming {
+            peer.awaiting_since = Some(now);
+            if peer.pipelined {
                 let bytes = entries.iter().map(entry_bytes).sum();
                 peer.next = last.index.next();
                 peer.in_flight.push_back((last.index, bytes));
@@ -80,18 +80,18 @@
         self.send(node.clone(), PeerBody::Append(call));
     }
 
-    /// Sends the next piece of the snapshot, or an empty one as a heartbeat.
-    fn send_piece(&mut self, now: TimePoint, node: &NodeName, with_data: bool) {
+    /// Sends the next snapshot chunk, or an empty chunk as a heartbeat.
+    fn send_snapshot_chunk(&mut self, now: TimePoint, node: &NodeName, with_data: bool) {
         let Some(snapshot) = &self.snapshot else { return };
-        let RoleState::Leading(lead) = &mut self.role else { return };
-        let round = lead.round;
-        let Some(peer) = lead.peers.get_mut(node) else { return };
+        let RoleState::Leading(state) = &mut self.role else { return };
+        let round = state.round;
+        let Some(peer) = state.peers.get_mut(node) else { return };
         let total = snapshot.data.len();
-        let offset = *peer.piece.get_or_insert(0);
+        let offset = *peer.snapshot_offset.get_or_insert(0);
         let start = usize::try_from(offset).unwrap_or(total).min(total);
-        let end = if with_data { (start + PIECE_BYTES).min(total) } else { start };
+        let end = if with_data { (start + SNAPSHOT_CHUNK_BYTES).min(total) } else { start };
         if with_data {
-            peer.asked_at = Some(now);
+            peer.awaiting_since = Some(now);
         }
         let call = InstallCall {
             meta: snapshot.meta.clone(),
--- a/crates/control/src/agreement/seats.rs
+++ b/crates/control/src/agreement/seats.rs
@@ -1,47 +1,48 @@
-//! Which data folder may vote in the name of which host.
+//! Voter seats: which data folder may vote for which host.
 //!
-//! A vote or an acknowledgement promises to remember. A wiped folder remembers nothing: would it
-//! vote as before, an entry that a majority holds could be lost and two leaders elected in one
-//! term. Every folder therefore has a random id, and only seated folders count. The founding
-//! seats are settled once, when every control host is there with an empty folder; later a folder
-//! gets a seat by a log entry, which is committed without its own voice.
+//! Votes and acknowledgements are only safe if the host persists them. A wiped data folder has lost
+//! them; if it could still vote, an entry held by a majority could be lost and two leaders could be
+//! elected in one term. Each folder therefore has a random id, and only folders that hold a seat
+//! count as voters. The founding seats are determined once, when all control hosts are up with
+//! empty folders. Later, a folder gets a seat through a log entry that is committed without its
+//! own acknowledgement.
 
 use briartray_model::TimePoint;
 use briartray_model::names::NodeName;
 
 use super::core::{AgreementCore, MembershipMode};
-use super::{FolderId, MemberSeat, PeerBody, StorageWrite};
+use super::{FolderId, PeerBody, StorageWrite, VoterSeat};
 
 impl AgreementCore {
-    /// Whether the own folder may vote.
-    pub(super) fn has_seat(&self) -> bool {
-        self.is_seat(&self.node, self.folder)
+    /// Whether the data folder of this host may vote.
+    pub(super) fn is_self_voter(&self) -> bool {
+        self.is_voter(&self.node, self.folder)
     }
 
-    /// Whether `folder` may vote in the name of `node`.
-    pub(super) fn is_seat(&self, node: &NodeName, folder: FolderId) -> bool {
+    /// Whether `folder` may vote for `node`.
+    pub(super) fn is_voter(&self, node: &NodeName, folder: FolderId) -> bool {
         self.seats.iter().any(|seat| seat.node == *node && seat.folder == folder)
     }
 
-    /// Seats a folder in place of the one its host had before.
-    pub(super) fn seat(&mut self, seat: MemberSeat) {
+    /// Grants a seat to a data folder, replacing any earlier folder of the same host.
+    pub(super) fn grant_seat(&mut self, seat: VoterSeat) {
         self.seats.retain(|known| known.node != seat.node);
         self.seats.push(seat);
         self.seats.sort_by(|a, b| a.node.cmp(&b.node));
-        // Kept with the commit, so that the seat still counts after all hosts restart at once.
-        self.write_hard();
+        // Stored with the commit index, so that the seat is still valid after all hosts restart.
+        self.write_hard_state();
     }
 
-    /// Looks for the other hosts while the own folder has no seat.
-    pub(super) fn seek_seat(&mut self, now: TimePoint) {
+    /// Contacts the other hosts while this host has no voter seat.
+    pub(super) fn discover_peers(&mut self, now: TimePoint) {
         let fixed = self.membership == MembershipMode::Fixed;
-        if fixed && self.may_found() && self.members.len() == 1 {
-            return self.found(now, self.greeted_seats());
+        if fixed && self.is_pristine() && self.members.len() == 1 {
+            return self.record_founding(now, self.founding_seats());
         }
-        if now < self.hello_at {
+        if now < self.next_hello_at {
             return;
         }
-        self.hello_at = now.after(self.times.heartbeat);
+        self.next_hello_at = now.after(self.times.heartbeat);
         if self.founding.is_none() {
             for peer in self.peers() {
                 self.send(peer, PeerBody::Hello);
@@ -49,65 +50,65 @@
         }
     }
 
-    pub(super) fn take_hello(&mut self, from: NodeName, caller: FolderId) {
+    pub(super) fn handle_hello(&mut self, from: NodeName, caller: FolderId) {
         let founding = self.founding.clone();
-        if founding.is_none() && !self.may_found() {
-            // Seated later than the founding: the leader takes care of the caller.
+        if founding.is_none() && !self.is_pristine() {
+            // This host joined after the founding; the leader will replicate to the sender.
             return;
         }
-        // Founding seats must be synced before anyone hears of them.
+        // The founding seats must be synced before they are sent to another host.
         let welcome = PeerBody::Welcome { caller, founding };
-        self.send_after(self.sync.hard_ticket(), from, welcome);
+        self.send_after(self.sync.hard_state_ticket(), from, welcome);
     }
 
-    pub(super) fn take_welcome(
+    pub(super) fn handle_welcome(
         &mut self,
         now: TimePoint,
         from: NodeName,
         folder: FolderId,
-        founding: Option<Vec<MemberSeat>>,
+        founding: Option<Vec<VoterSeat>>,
     ) {
         match founding {
-            // Whether this folder may vote follows from the seats: one that was wiped since the
-            // founding is not among them.
-            Some(seats) if self.founding.is_none() => self.found(now, seats),
+            // The seats determine whether this folder may vote; they do not list a folder that was
+            // wiped after the founding.
+            Some(seats) if self.founding.is_none() => self.record_founding(now, seats),
             Some(_) => {}
-            None if self.may_found() && self.membership == MembershipMode::Fixed => {
-                self.greeted.insert(from, folder);
-                // One host alone settles the seats: two could settle different ones while a third
-                // is being wiped.
-                let settles = self.members.first() == Some(&self.node);
-                if settles && self.greeted.len() + 1 == self.members.len() {
-                    let seats = self.greeted_seats();
-                    self.found(now, seats);
+            None if self.is_pristine() && self.membership == MembershipMode::Fixed => {
+                self.discovered.insert(from, folder);
+                // Only the first host determines the seats. Two hosts could choose different ones
+                // while a third is being wiped.
+                let chooses_seats = self.members.first() == Some(&self.node);
+                if chooses_seats && self.discovered.len() + 1 == self.members.len() {
+                    let seats = self.founding_seats();
+                    self.record_founding(now, seats);
                 }
             }
             None => {}
         }
     }
 
-    fn greeted_seats(&self) -> Vec<MemberSeat> {
-        let own = MemberSeat { node: self.node.clone(), folder: self.folder };
+    fn founding_seats(&self) -> Vec<VoterSeat> {
+        let own = VoterSeat { node: self.node.clone(), folder: self.folder };
         let others = self
-            .greeted
+            .discovered
             .iter()
-            .map(|(node, folder)| MemberSeat { node: node.clone(), folder: *folder });
-        let mut seats: Vec<MemberSeat> = others.chain([own]).collect();
+            .map(|(node, folder)| VoterSeat { node: node.clone(), folder: *folder });
+        let mut seats: Vec<VoterSeat> = others.chain([own]).collect();
         seats.sort_by(|a, b| a.node.cmp(&b.node));
         seats
     }
 
-    /// Whether the folder has never taken part in anything.
-    pub(super) fn may_found(&self) -> bool {
+    /// Whether the data folder has never been used.
+    pub(super) fn is_pristine(&self) -> bool {
         self.founding.is_none()
             && self.hard.term.0 == 0
             && self.log.last_index().0 == 0
             && self.snapshot.is_none()
     }
 
-    pub(super) fn found(&mut self, now: TimePoint, seats: Vec<MemberSeat>) {
-        log::info!(members = seats.len(); "the control log is founded");
-        // Seats that were given later stand.
+    pub(super) fn record_founding(&mut self, now: TimePoint, seats: Vec<VoterSeat>) {
+        log::info!(members = seats.len(); "accepted the founding voters of the control log");
+        // Keep seats that were granted after the founding.
         for seat in &seats {
             if !self.seats.iter().any(|known| known.node == seat.node) {
                 self.seats.push(seat.clone());
@@ -116,10 +117,10 @@
         self.seats.sort_by(|a, b| a.node.cmp(&b.node));
         self.founding = Some(seats.clone());
         self.sync.write(StorageWrite::Founding(seats));
-        // Votes and answers wait for the founding seats as for a term.
-        self.write_hard();
+        // Votes and replies must wait until the founding seats are synced, as they do for a term.
+        self.write_hard_state();
         if self.members.len() > 1 {
-            self.delay_election(now);
+            self.reset_election_timer(now);
         }
     }
 }
--- a/crates/control/src/lease/book.rs
+++ b/crates/control/src/lease/book.rs
@@ -1,105 +1,100 @@
-//! The leader's side: what each registered entry has adopted, and until when it may decide.
+//! The leader's view of rules leases: adopted revisions and lease expiry of each entry.
 
 use briartray_model::names::{NodeName, RevisionNumber};
 use briartray_model::{SortedTable, TimePoint};
 
 use super::LeaseTerms;
 
-/// What the leader knows of one registered entry.
+/// Lease of one registered entry.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct EntryStanding {
-    /// Terms of its registration; every leader grants and reckons with these.
+struct EntryLease {
+    /// Terms from the registration; every leader grants and expires leases by these.
     terms: LeaseTerms,
     adopted: RevisionNumber,
-    granted: Option<TimePoint>,
+    granted_at: Option<TimePoint>,
 }
 
-/// Leases of every registered entry, as one leader knows them.
+/// Leases of all registered entries, as tracked by one leader.
 ///
-/// The book is not replicated. A new leader does not know which leases the old one granted, so it
-/// reckons with a full lease of every registered entry from the moment of its election: grants of
-/// the old leader were confirmed by a majority before that moment.
+/// The book is not replicated, so a new leader does not know which leases the previous leader
+/// granted. It assumes that every registered entry holds a full lease from the time of the
+/// election: the previous leader's grants were confirmed by a majority before that time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaseBook {
-    elected: TimePoint,
-    entries: SortedTable<NodeName, EntryStanding>,
+    elected_at: TimePoint,
+    entries: SortedTable<NodeName, EntryLease>,
 }
 
 impl LeaseBook {
-    /// The book of a leader elected at `now`, with the entries that are registered.
+    /// Creates the book of a leader elected at `now`, given the registered entries.
     pub fn new(now: TimePoint, registered: &[(NodeName, LeaseTerms)]) -> Self {
-        let mut book = Self { elected: now, entries: SortedTable::new() };
+        let mut book = Self { elected_at: now, entries: SortedTable::new() };
         for (node, terms) in registered {
             book.register(node, *terms);
         }
         book
     }
 
-    /// Adds an entry whose registration is committed; a known one keeps its terms.
+    /// Adds an entry whose registration is committed; an entry already present keeps its terms.
     pub fn register(&mut self, node: &NodeName, terms: LeaseTerms) {
-        self.entries.get_or_insert_with(node.clone(), || EntryStanding {
+        self.entries.get_or_insert_with(node.clone(), || EntryLease {
             terms,
             adopted: RevisionNumber::default(),
-            granted: None,
+            granted_at: None,
         });
     }
 
-    /// Whether `node` is registered; only then may it be granted a lease.
+    /// Whether `node` is registered; only registered entries may be granted a lease.
     pub fn is_registered(&self, node: &NodeName) -> bool {
         self.entries.contains_key(node)
     }
 
-    /// Strikes off an entry: it stopped, or an operator vouches for it.
+    /// Removes an entry that has stopped, or that an operator has declared stopped.
     pub fn forget(&mut self, node: &NodeName) {
         self.entries.remove(node);
     }
 
-    /// Records what an entry says it has adopted.
+    /// Records the revision that an entry reports as adopted.
     ///
-    /// An entry that restarted starts from nothing and says so; the older, higher number must not
-    /// count for it.
+    /// The revision may decrease: a restarted entry begins without rules, and the higher revision
+    /// from before the restart must not count.
     pub fn adopted(&mut self, node: &NodeName, revision: RevisionNumber) {
-        if let Some(standing) = self.entries.get_mut(node) {
-            standing.adopted = revision;
+        if let Some(lease) = self.entries.get_mut(node) {
+            lease.adopted = revision;
         }
     }
 
-    /// Records a grant that is answered at `now` and returns its terms; `None` when the entry is
-    /// not registered.
+    /// Records a grant sent at `now` and returns its terms; `None` if the entry is not registered.
     pub fn grant(&mut self, now: TimePoint, node: &NodeName) -> Option<LeaseTerms> {
-        let standing = self.entries.get_mut(node)?;
-        standing.granted = Some(now);
-        Some(standing.terms)
+        let lease = self.entries.get_mut(node)?;
+        lease.granted_at = Some(now);
+        Some(lease.terms)
     }
 
-    /// Entries that may decide at `now` under rules older than `revision`.
+    /// Entries that may still decide at `now` under rules older than `revision`.
     pub fn waiting_for(&self, now: TimePoint, revision: RevisionNumber) -> Vec<NodeName> {
         self.entries
             .iter()
-            .filter(|(_, standing)| standing.adopted < revision && self.may_decide(now, standing))
+            .filter(|(_, lease)| lease.adopted < revision && self.may_decide(now, lease))
             .map(|(node, _)| node.clone())
             .collect()
     }
 
-    /// Whether every entry that decides at `now` does so under `revision` or a later one.
+    /// Whether no entry may decide at `now` under rules older than `revision`.
     pub fn in_force(&self, now: TimePoint, revision: RevisionNumber) -> bool {
-        self.entries
-            .values()
-            .all(|standing| standing.adopted >= revision || !self.may_decide(now, standing))
+        self.entries.values().all(|lease| lease.adopted >= revision || !self.may_decide(now, lease))
     }
 
-    /// Entries with what they adopted and whether they may decide at `now`.
+    /// Each entry with its adopted revision and whether it may decide at `now`.
     pub fn standings(&self, now: TimePoint) -> Vec<(NodeName, RevisionNumber, bool)> {
         self.entries
             .iter()
-            .map(|(node, standing)| {
-                (node.clone(), standing.adopted, self.may_decide(now, standing))
-            })
+            .map(|(node, lease)| (node.clone(), lease.adopted, self.may_decide(now, lease)))
             .collect()
     }
 
-    fn may_decide(&self, now: TimePoint, standing: &EntryStanding) -> bool {
-        let granted = standing.granted.unwrap_or(self.elected);
-        standing.terms.longest().is_none_or(|longest| now < granted.after(longest))
+    fn may_decide(&self, now: TimePoint, lease: &EntryLease) -> bool {
+        let granted_at = lease.granted_at.unwrap_or(self.elected_at);
+        lease.terms.longest().is_none_or(|longest| now < granted_at.after(longest))
     }
 }
--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -1,48 +1,48 @@
-//! An entry's side: whether it may decide now.
+//! An entry's side of a rules lease: whether the entry may decide now.
 
 use briartray_model::TimePoint;
 use briartray_model::names::LeaseNonce;
 
 use super::LeaseTerms;
 
-/// Renewals that may be under way at one time.
-const MAX_ASKED: usize = 8;
+/// Maximum number of unanswered renewals that are remembered.
+const MAX_PENDING_RENEWALS: usize = 8;
 
 /// Whether an entry may decide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HolderState {
-    /// The rules are confirmed.
+    /// The rules are confirmed by an unexpired lease.
     Confirmed,
-    /// The lease has run out; the terms allow going on under the last confirmed rules.
+    /// The lease has expired, but its terms allow the last confirmed rules to be used.
     Holding,
-    /// Nothing may be decided.
+    /// The entry must not decide.
     Lapsed,
 }
 
-/// The lease of one entry.
+/// The rules lease of one entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RulesHolder {
-    asked: Vec<(LeaseNonce, TimePoint)>,
+    renewals: Vec<(LeaseNonce, TimePoint)>,
     confirmed: Option<(TimePoint, LeaseTerms)>,
     last_nonce: LeaseNonce,
 }
 
 impl RulesHolder {
-    /// A holder that nothing has been confirmed to; `first` must be random.
+    /// Creates a holder without a lease; `first` must be random.
     ///
-    /// A process that restarts and counts from one again would take a late grant to its
-    /// predecessor for its own and decide under rules that were replaced since.
+    /// If nonces restarted at one, a new process could mistake a delayed grant to the previous
+    /// process for its own and decide under rules that have been replaced since.
     pub fn new(first: LeaseNonce) -> Self {
-        Self { asked: Vec::new(), confirmed: None, last_nonce: first }
+        Self { renewals: Vec::new(), confirmed: None, last_nonce: first }
     }
 
-    /// Starts a renewal at `now`; the nonce goes into the request.
+    /// Starts a renewal at `now` and returns the nonce for the request.
     pub fn ask(&mut self, now: TimePoint) -> LeaseNonce {
         self.last_nonce = LeaseNonce(self.last_nonce.0.wrapping_add(1));
-        if self.asked.len() == MAX_ASKED {
-            self.asked.remove(0);
+        if self.renewals.len() == MAX_PENDING_RENEWALS {
+            self.renewals.remove(0);
         }
-        self.asked.push((self.last_nonce, now));
+        self.renewals.push((self.last_nonce, now));
         self.last_nonce
     }
 
@@ -51,27 +51,27 @@
         self.last_nonce
     }
 
-    /// Takes a grant; `false` when it answers no request that is under way.
+    /// Handles a grant; returns `false` if it matches no pending renewal.
     ///
-    /// The lease counts from the moment of asking, by this process's own clock: however long the
-    /// answer travelled or lay in a queue, it is never held longer than the leader reckons with.
+    /// The lease starts when the request was made, on the local clock. However long the reply was
+    /// delayed, the entry never holds the lease longer than the leader assumes.
     pub fn granted(&mut self, nonce: LeaseNonce, terms: LeaseTerms) -> bool {
-        let Some(position) = self.asked.iter().position(|(asked, _)| *asked == nonce) else {
+        let Some(position) = self.renewals.iter().position(|(renewal, _)| *renewal == nonce) else {
             return false;
         };
-        let (_, sent) = self.asked[position];
-        // Answers to older requests could only shorten what is held now.
-        self.asked.drain(..=position);
-        self.confirmed = Some((sent, terms));
+        let (_, requested_at) = self.renewals[position];
+        // Replies to older renewals could only shorten the lease.
+        self.renewals.drain(..=position);
+        self.confirmed = Some((requested_at, terms));
         true
     }
 
-    /// Until when the entry may decide; `None` before the first grant.
+    /// Times at which the lease expires; `None` before the first grant.
     pub fn window(&self) -> Option<RulesWindow> {
-        let (sent, terms) = self.confirmed?;
+        let (requested_at, terms) = self.confirmed?;
         Some(RulesWindow {
-            confirmed_until: sent.after(terms.confirmed()),
-            usable_until: terms.usable().map(|usable| sent.after(usable)),
+            confirmed_until: requested_at.after(terms.confirmed()),
+            usable_until: terms.usable().map(|usable| requested_at.after(usable)),
         })
     }
 
@@ -81,12 +81,12 @@
     }
 }
 
-/// Until when an entry may decide under the rules it has.
+/// Until when an entry may decide under its current rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RulesWindow {
-    /// Until when they are confirmed.
+    /// Expiry of the lease.
     pub confirmed_until: TimePoint,
-    /// Until when they may be used; `None` without a bound.
+    /// Time until which the rules may be used after expiry; `None` for no limit.
     pub usable_until: Option<TimePoint>,
 }
 
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -1,8 +1,8 @@
-//! Rules leases: which entries may still decide under older rules.
+//! Rules leases, which bound how long an entry may decide under outdated rules.
 //!
-//! An entry decides only while it holds a lease that a confirmed leader granted. The leader
-//! answers `accepted` for a change once no entry can decide under older rules any more: each one
-//! has adopted the change, or its lease has run out, or an operator has struck it off.
+//! An entry may decide only while it holds a lease from a leader that a majority has confirmed. The
+//! leader answers `accepted` to a rule change only when no entry can decide under older rules: each
+//! entry has adopted the change, its lease has expired, or an operator has removed it.
 
 mod book;
 mod holder;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! Control state: the aggregates that must survive, the log by which control hosts agree on
-//! them, and the data folder that keeps the log.
+//! The control plane's replicated state: the state machine, the consensus log that keeps it equal
+//! on all control hosts, and the data folder that persists the log.
 
 pub mod agreement;
 pub mod lease;
--- a/crates/control/src/snapshots/mod.rs
+++ b/crates/control/src/snapshots/mod.rs
@@ -1,16 +1,16 @@
-//! Snapshots for entries, and the changes between the latest of them.
+//! Routing snapshots for entries, and the changes between the most recent ones.
 //!
-//! At the design size a whole snapshot has hundreds of kilobytes, and something changes about once
-//! a minute: entries that are nearly up to date are sent the changes alone.
+//! At the design size, a full snapshot has hundreds of kilobytes while something changes about once
+//! a minute, so entries that are almost up to date receive only the changes.
 
 use std::collections::VecDeque;
 
 use briartray_model::message::{RoutingSnapshot, SnapshotChange, SnapshotUpdate};
 
-/// Changes that are kept; an entry that is further behind is sent the whole snapshot.
+/// Number of changes kept; an entry that is further behind receives the full snapshot.
 const MAX_CHANGES: usize = 256;
 
-/// The newest snapshot and the way to it.
+/// The newest snapshot and the most recent changes that led to it.
 #[derive(Debug, Default)]
 pub struct SnapshotLog {
     newest: RoutingSnapshot,
@@ -18,12 +18,12 @@
 }
 
 impl SnapshotLog {
-    /// Version of the newest snapshot; zero for none.
+    /// Version of the newest snapshot; zero if there is none.
     pub fn version(&self) -> u64 {
         self.newest.version
     }
 
-    /// Takes a newer snapshot.
+    /// Appends a newer snapshot.
     pub fn push(&mut self, snapshot: RoutingSnapshot) {
         if self.newest.version != 0 {
             if self.changes.len() == MAX_CHANGES {
@@ -34,12 +34,12 @@
         self.newest = snapshot;
     }
 
-    /// Forgets everything: another leader's snapshots are not comparable with these.
+    /// Clears the log, because snapshots of different leaders are not comparable.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// What an entry that has `adopted` lacks; `None` when it is up to date.
+    /// Update for an entry that has version `adopted`; `None` if it is up to date.
     pub fn update(&self, adopted: u64) -> Option<SnapshotUpdate> {
         if adopted == self.newest.version {
             return None;
@@ -48,8 +48,10 @@
         let Some(first) = first else {
             return Some(SnapshotUpdate::Whole(self.newest.clone()));
         };
-        let mut steps = self.changes.iter().skip(first);
-        let start = steps.next()?.clone();
-        Some(SnapshotUpdate::Changes(steps.fold(start, |way, step| way.followed_by(step))))
+        let mut later_changes = self.changes.iter().skip(first);
+        let first_change = later_changes.next()?.clone();
+        Some(SnapshotUpdate::Changes(
+            later_changes.fold(first_change, |merged, change| merged.followed_by(change)),
+        ))
     }
 }
--- a/crates/control/src/state/changes.rs
+++ b/crates/control/src/state/changes.rs
@@ -1,11 +1,10 @@
-//! Outcomes of the changes that were sent, kept so that a resend gets the first one.
+//! Outcomes of rule changes, kept so that a resent change gets its original outcome.
 //!
-//! Memory is bounded in two ways. A change that was refused left no trace in the rules: applied
-//! again it is refused again, so only the newest of these are kept. An accepted change must never
-//! be applied twice. Revisions tell its age: a change that expects revision N was accepted, if at
-//! all, as revision N + 1. Once the record of that acceptance is dropped, every change that
-//! expects N or less and is not known is answered as too old, and so is one that names no
-//! revision.
+//! Memory is bounded in two ways. A rejected change had no effect on the rules and is rejected
+//! again if it is applied again, so only the newest rejections are kept. An accepted change must
+//! never be applied twice. Its age is known from revisions: a change that expects revision N can
+//! only have been accepted as revision N + 1. Once that record has been evicted, every unknown
+//! change that expects N or less, or that names no revision, is answered as too old.
 
 use std::collections::VecDeque;
 
@@ -16,16 +15,16 @@
 
 use super::CommandOutcome;
 
-/// Accepted changes that are remembered: a month at 2,000 changes a day.
+/// Maximum number of accepted changes kept: a month at 2,000 changes a day.
 pub const MAX_ACCEPTED: usize = 65_536;
 
-/// Refused changes that are remembered.
+/// Maximum number of rejected changes kept.
 const MAX_REFUSED: usize = 4096;
 
-/// Characters of the reason for a refusal that are remembered.
-const MAX_DETAIL: usize = 512;
+/// Maximum length of a kept rejection reason, in characters.
+const MAX_DETAIL_CHARS: usize = 512;
 
-/// Half a digest tells documents apart.
+/// Length of the digest that identifies a document: half of SHA-256, in bytes.
 const DIGEST_BYTES: usize = 16;
 
 type ShortDigest = [u8; DIGEST_BYTES];
@@ -42,20 +41,20 @@
     outcome: CommandOutcome,
 }
 
-/// The outcomes that are remembered.
+/// Outcomes of past rule changes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub(super) struct ChangeHistory {
     accepted: SortedTable<ChangeId, AcceptedChange>,
     accepted_order: VecDeque<ChangeId>,
     refused: SortedTable<ChangeId, RefusedChange>,
     refused_order: VecDeque<ChangeId>,
-    /// Highest revision that a forgotten accepted change can have expected.
+    /// Highest revision that an evicted accepted change can have expected.
     floor: Option<RevisionNumber>,
 }
 
 impl ChangeHistory {
-    /// The outcome that a change had before, or must have because of its age.
-    pub(super) fn settled(
+    /// The outcome of a change that was handled before or that is too old to tell.
+    pub(super) fn known_outcome(
         &self,
         change: ChangeId,
         expect: Option<RevisionNumber>,
@@ -63,15 +62,15 @@
     ) -> Option<CommandOutcome> {
         let digest = digest_of(text);
         let known = match (self.accepted.get(&change), self.refused.get(&change)) {
-            (Some(kept), _) => {
-                let revision = kept.revision;
-                Some((kept.digest, CommandOutcome::RulesAccepted { revision }))
+            (Some(recorded), _) => {
+                let revision = recorded.revision;
+                Some((recorded.digest, CommandOutcome::RulesAccepted { revision }))
             }
-            (None, Some(kept)) => Some((kept.digest, kept.outcome.clone())),
+            (None, Some(recorded)) => Some((recorded.digest, recorded.outcome.clone())),
             (None, None) => None,
         };
         match (known, self.floor) {
-            (Some((kept, outcome)), _) if kept == digest => Some(outcome),
+            (Some((recorded, outcome)), _) if recorded == digest => Some(outcome),
             (Some(_), _) => Some(CommandOutcome::ChangeReused { change }),
             (None, Some(floor)) if expect.is_none_or(|revision| revision <= floor) => {
                 Some(CommandOutcome::ChangeTooOld { floor })
@@ -80,15 +79,15 @@
         }
     }
 
-    /// Remembers the outcome of a new change.
-    pub(super) fn remember(&mut self, change: ChangeId, text: &str, outcome: &CommandOutcome) {
+    /// Records the outcome of a new change.
+    pub(super) fn record(&mut self, change: ChangeId, text: &str, outcome: &CommandOutcome) {
         let digest = digest_of(text);
         if let CommandOutcome::RulesAccepted { revision } = outcome {
             self.accepted.insert(change, AcceptedChange { digest, revision: *revision });
             self.accepted_order.push_back(change);
-            return self.forget_accepted();
+            return self.evict_accepted();
         }
-        self.refused.insert(change, RefusedChange { digest, outcome: shorten(outcome) });
+        self.refused.insert(change, RefusedChange { digest, outcome: truncate_detail(outcome) });
         self.refused_order.push_back(change);
         if self.refused_order.len() > MAX_REFUSED
             && let Some(oldest) = self.refused_order.pop_front()
@@ -97,31 +96,31 @@
         }
     }
 
-    fn forget_accepted(&mut self) {
+    fn evict_accepted(&mut self) {
         if self.accepted_order.len() <= MAX_ACCEPTED {
             return;
         }
         let oldest =
             self.accepted_order.pop_front().and_then(|change| self.accepted.remove(&change));
-        if let Some(kept) = oldest {
-            self.floor = Some(RevisionNumber(kept.revision.0 - 1));
+        if let Some(recorded) = oldest {
+            self.floor = Some(RevisionNumber(recorded.revision.0 - 1));
         }
     }
 }
 
-/// The outcome with a reason of bounded length.
-fn shorten(outcome: &CommandOutcome) -> CommandOutcome {
+/// Returns the outcome with its reason cut to the maximum length.
+fn truncate_detail(outcome: &CommandOutcome) -> CommandOutcome {
     match outcome {
         CommandOutcome::RulesInvalid { detail } => {
-            CommandOutcome::RulesInvalid { detail: detail.chars().take(MAX_DETAIL).collect() }
+            CommandOutcome::RulesInvalid { detail: detail.chars().take(MAX_DETAIL_CHARS).collect() }
         }
         other => other.clone(),
     }
 }
 
 fn digest_of(text: &str) -> ShortDigest {
-    let whole: [u8; 32] = Sha256::digest(text.as_bytes()).into();
+    let full: [u8; 32] = Sha256::digest(text.as_bytes()).into();
     let mut short = [0; DIGEST_BYTES];
-    short.copy_from_slice(&whole[..DIGEST_BYTES]);
+    short.copy_from_slice(&full[..DIGEST_BYTES]);
     short
 }
--- a/crates/control/src/state/command.rs
+++ b/crates/control/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the control log and what comes of them.
+//! Commands of the replicated state machine and their outcomes.
 
 use briartray_model::lease::LeaseTerms;
 use briartray_model::message::{GroupMember, LedgerReply, LedgerRequest};
@@ -12,80 +12,80 @@
 use super::StopPlan;
 
 plain_value! {
-    /// One change of the control state.
+    /// A command that changes the control state.
     pub enum ControlCommand {
         /// Replace the rule document.
         ApplyRules {
-            /// The operator's id for the change; a resend carries the same.
+            /// Id of the change, chosen by the operator; a resend uses the same id.
             change: ChangeId,
-            /// Revision that must be in force, when the operator named one.
+            /// Revision that must be in force, if the operator named one.
             expect: Option<RevisionNumber>,
-            /// The document in YAML.
+            /// The rule document in YAML.
             text: String,
         },
         /// Form a group.
         FormGroup(GroupProposal),
-        /// Dissolve a group and free its hosts.
+        /// Dissolve a group and release its hosts.
         DissolveGroup {
-            /// The group.
+            /// Id of the group.
             group: GroupId,
         },
-        /// Let an entry hold a rules lease.
+        /// Register an entry, so that it may hold a rules lease.
         RegisterEntry {
-            /// The entry.
+            /// Name of the entry.
             node: NodeName,
             /// Terms of its leases.
             terms: LeaseTerms,
         },
-        /// Strike an entry off.
+        /// Remove the registration of an entry.
         ForgetEntry {
-            /// The entry.
+            /// Name of the entry.
             node: NodeName,
         },
-        /// Put a group in the place of another in one step, so that no other command comes between
-        /// freeing the members that are kept and binding them again.
+        /// Replace a group by another one atomically, so that no other command is applied between
+        /// releasing the kept members and binding them again.
         ReplaceGroup {
-            /// The group that ends.
+            /// Group to dissolve.
             group: GroupId,
-            /// The group that takes its place.
+            /// Group to form in its place.
             proposal: GroupProposal,
         },
         /// Change the ledger of claims.
         Ledger(LedgerRequest),
-        /// Forget the oldest claims whose outcome is known.
+        /// Remove the oldest claims whose outcome is known.
         ForgetClaims {
-            /// Newest claims that stay in any case.
+            /// Number of newest claims to keep.
             keep: u64,
         },
         /// Plan a stop.
         PlanStop {
             /// Revision of the stop book that the stop was checked against.
             expect: u64,
-            /// The stop.
+            /// The stop to plan.
             plan: StopPlan,
         },
-        /// A group of a planned stop begins to leave.
+        /// Record that a group of a planned stop starts to leave.
         BeginLeave {
-            /// The group.
+            /// Id of the group.
             group: GroupId,
         },
-        /// Take a planned stop back.
+        /// Cancel a planned stop.
         CancelStop {
-            /// The stop.
+            /// Id of the stop.
             stop: StopId,
         },
-        /// Refuse a request from now on.
+        /// Reject a request from now on.
         Quarantine(QuarantineRecord),
-        /// Serve a request again.
+        /// Serve a quarantined request again.
         LiftQuarantine {
-            /// The request.
+            /// Print of the request.
             print: RequestPrint,
         },
     }
 
     /// A group to be formed.
     pub struct GroupProposal {
-        /// Service it serves.
+        /// Service that the group serves.
         pub service: ServiceName,
         /// Availability zone of the first host.
         pub zone: ZoneName,
@@ -95,121 +95,121 @@
         pub provider: ProviderName,
         /// Members in order.
         pub members: Vec<GroupMember>,
-        /// How many attempts may be in flight.
+        /// Maximum number of attempts in flight.
         pub capacity: u32,
     }
 
-    /// What a command did.
+    /// The outcome of a command.
     pub enum CommandOutcome {
-        /// The rules are replaced.
+        /// The rule document was replaced.
         RulesAccepted {
             /// The new revision.
             revision: RevisionNumber,
         },
-        /// Another change came first.
+        /// The expected revision is not in force.
         RulesConflict {
             /// The revision in force.
             revision: RevisionNumber,
         },
-        /// The document does not hold.
+        /// The rule document is invalid.
         RulesInvalid {
-            /// What is wrong.
+            /// What is wrong with it.
             detail: String,
         },
-        /// A known change id came with another document.
+        /// The change id was used before with a different document.
         ChangeReused {
-            /// The id.
+            /// The change id.
             change: ChangeId,
         },
-        /// The change may have been applied so long ago that its outcome is no longer kept.
+        /// The change is so old that its outcome is no longer kept; it may have been applied.
         ChangeTooOld {
-            /// Outcomes of changes that expect this revision or an earlier one are gone.
+            /// Outcomes of changes that expect this revision or an earlier one have been evicted.
             floor: RevisionNumber,
         },
-        /// The group exists.
+        /// The group was formed.
         GroupFormed {
-            /// The group.
+            /// Id of the group.
             group: GroupId,
-            /// Its fencing number.
+            /// Fencing number of the group.
             fencing: FencingNumber,
         },
-        /// The group was not formed: a host is in another group.
+        /// The group was not formed, because a host belongs to another group.
         HostTaken {
-            /// The host.
+            /// Name of the host.
             host: HostName,
-            /// The group that holds it.
+            /// The group that it belongs to.
             group: GroupId,
         },
-        /// The group is gone.
+        /// The group was dissolved.
         GroupDissolved {
-            /// The group.
+            /// Id of the group.
             group: GroupId,
         },
         /// There is no such group.
         GroupUnknown {
-            /// The group.
+            /// Id of the group.
             group: GroupId,
         },
-        /// The entry may hold a lease.
+        /// The entry is registered.
         EntryRegistered {
-            /// The entry.
+            /// Name of the entry.
             node: NodeName,
         },
-        /// The entry is struck off.
+        /// The registration of the entry was removed.
         EntryForgotten {
-            /// The entry.
+            /// Name of the entry.
             node: NodeName,
         },
-        /// There is no such entry.
+        /// The entry is not registered.
         EntryUnknown {
-            /// The entry.
+            /// Name of the entry.
             node: NodeName,
         },
-        /// No more entries can be registered.
+        /// The maximum number of entries is registered.
         EntriesFull {
-            /// How many there may be.
+            /// The maximum number of entries.
             limit: usize,
         },
-        /// What the ledger answered.
+        /// Reply of the ledger.
         Ledger(LedgerReply),
-        /// Claims are forgotten.
+        /// Claims were removed.
         ClaimsForgotten {
-            /// How many.
+            /// Number of removed claims.
             count: usize,
         },
         /// The stop is planned.
         StopPlanned {
-            /// The stop.
+            /// Id of the stop.
             stop: StopId,
         },
-        /// The stop is not planned.
+        /// The stop was rejected.
         StopRefused {
-            /// Why.
+            /// Reason for the rejection.
             reason: String,
         },
-        /// The group begins to leave.
+        /// The group starts to leave.
         LeaveBegun {
-            /// The group.
+            /// Id of the group.
             group: GroupId,
         },
-        /// The stop is taken back.
+        /// The stop is cancelled.
         StopCancelled {
-            /// The stop.
+            /// Id of the stop.
             stop: StopId,
         },
-        /// There never was such a stop.
+        /// No stop with this id was ever planned.
         StopUnknown {
-            /// The stop.
+            /// Id of the stop.
             stop: StopId,
         },
-        /// The request is refused from now on.
+        /// The request is quarantined.
         Quarantined {
-            /// The request.
+            /// Print of the request.
             print: RequestPrint,
         },
-        /// The request is served again.
+        /// The quarantine of the request is lifted.
         QuarantineLifted {
-            /// The request.
+            /// Print of the request.
             print: RequestPrint,
         },
     }
--- a/crates/control/src/state/entries.rs
+++ b/crates/control/src/state/entries.rs
@@ -1,4 +1,4 @@
-//! Entries that may hold a rules lease.
+//! Registered entries, which may hold a rules lease.
 
 use briartray_model::SortedTable;
 use briartray_model::lease::LeaseTerms;
@@ -7,14 +7,14 @@
 
 use super::CommandOutcome;
 
-/// Entries that the roster holds at most.
+/// Maximum number of registered entries.
 const MAX_ENTRIES: usize = 8192;
 
-/// The entry roster aggregate.
+/// Registered entries with their lease terms.
 ///
-/// It is replicated because a new leader must know whose leases may still run: an entry that it
-/// never heard of could decide under old rules while a change is answered as accepted. The terms
-/// are those of the registration, so that leaders with other settings reckon with them too.
+/// The roster is replicated because a new leader must know which entries may hold a lease. An entry
+/// that it does not know could decide under old rules while a change is answered as accepted. The
+/// terms of the registration are kept, so that leaders with other settings apply the same terms.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct EntryRoster {
     nodes: SortedTable<NodeName, LeaseTerms>,
@@ -26,7 +26,7 @@
         self.nodes.iter().map(|(node, terms)| (node.clone(), *terms)).collect()
     }
 
-    /// Registers `node`; a second registration changes nothing.
+    /// Registers `node`; an existing registration keeps its terms.
     pub fn register(&mut self, node: &NodeName, terms: LeaseTerms) -> CommandOutcome {
         if !self.nodes.contains_key(node) {
             if self.nodes.len() >= MAX_ENTRIES {
@@ -37,7 +37,7 @@
         CommandOutcome::EntryRegistered { node: node.clone() }
     }
 
-    /// Strikes `node` off.
+    /// Removes the registration of `node`.
     pub fn forget(&mut self, node: &NodeName) -> CommandOutcome {
         let node = node.clone();
         match self.nodes.remove(&node) {
--- a/crates/control/src/state/groups.rs
+++ b/crates/control/src/state/groups.rs
@@ -1,4 +1,4 @@
-//! Which host belongs to which group, under which fencing number.
+//! Groups, the binding of hosts to groups, and fencing numbers.
 
 use briartray_model::SortedTable;
 use briartray_model::message::GroupAssignment;
@@ -9,10 +9,10 @@
 
 use super::{CommandOutcome, GroupProposal};
 
-/// One group that exists.
+/// An existing group.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RegisteredGroup {
-    /// Its membership.
+    /// Its members, service and fencing number.
     pub assignment: GroupAssignment,
     /// Availability zone of the first host.
     pub zone: ZoneName,
@@ -22,26 +22,26 @@
     pub provider: ProviderName,
 }
 
-/// What is known of one host.
+/// Binding of a host to a group.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct HostSeat {
-    /// Highest fencing number given out for it.
+pub struct HostBinding {
+    /// Highest fencing number issued for the host.
     pub fencing: FencingNumber,
-    /// The group it belongs to.
+    /// The group that the host belongs to, if any.
     pub group: Option<GroupId>,
 }
 
-/// The group registry aggregate: no host in two groups, fencing numbers only grow.
+/// All groups. A host belongs to at most one group, and fencing numbers only increase.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct GroupRegistry {
     groups: SortedTable<GroupId, RegisteredGroup>,
-    seats: SortedTable<HostName, HostSeat>,
+    seats: SortedTable<HostName, HostBinding>,
     last_group: GroupId,
     last_fencing: FencingNumber,
 }
 
 impl GroupRegistry {
-    /// Groups in id order.
+    /// All groups in id order.
     pub fn groups(&self) -> impl Iterator<Item = &RegisteredGroup> {
         self.groups.values()
     }
@@ -51,12 +51,12 @@
         self.groups.get(&id)
     }
 
-    /// What is known of `host`.
-    pub fn seat(&self, host: &HostName) -> HostSeat {
+    /// The binding of `host`; a default one if the host never belonged to a group.
+    pub fn seat(&self, host: &HostName) -> HostBinding {
         self.seats.get(host).cloned().unwrap_or_default()
     }
 
-    /// Forms a group unless one of its hosts is taken.
+    /// Forms a group unless one of its hosts belongs to another one.
     pub fn form(&mut self, proposal: &GroupProposal) -> CommandOutcome {
         for member in &proposal.members {
             if let Some(group) = self.seat(&member.host).group {
@@ -67,7 +67,7 @@
         self.last_fencing = self.last_fencing.next();
         let (group, fencing) = (self.last_group, self.last_fencing);
         for member in &proposal.members {
-            self.seats.insert(member.host.clone(), HostSeat { fencing, group: Some(group) });
+            self.seats.insert(member.host.clone(), HostBinding { fencing, group: Some(group) });
         }
         let assignment = GroupAssignment {
             group,
@@ -88,7 +88,7 @@
         CommandOutcome::GroupFormed { group, fencing }
     }
 
-    /// Dissolves `group` and forms its successor, or does neither.
+    /// Dissolves `group` and forms its successor, or changes nothing if that is not possible.
     pub fn replace(&mut self, group: GroupId, proposal: &GroupProposal) -> CommandOutcome {
         if !self.groups.contains_key(&group) {
             return CommandOutcome::GroupUnknown { group };
@@ -105,7 +105,7 @@
         self.form(proposal)
     }
 
-    /// Dissolves a group; its hosts are free under a new fencing number.
+    /// Dissolves a group and releases its hosts under a new fencing number.
     pub fn dissolve(&mut self, group: GroupId) -> CommandOutcome {
         let Some(registered) = self.groups.remove(&group) else {
             return CommandOutcome::GroupUnknown { group };
@@ -113,7 +113,7 @@
         self.last_fencing = self.last_fencing.next();
         let fencing = self.last_fencing;
         for member in &registered.assignment.members {
-            self.seats.insert(member.host.clone(), HostSeat { fencing, group: None });
+            self.seats.insert(member.host.clone(), HostBinding { fencing, group: None });
         }
         CommandOutcome::GroupDissolved { group }
     }
--- a/crates/control/src/state/ledger.rs
+++ b/crates/control/src/state/ledger.rs
@@ -1,8 +1,8 @@
-//! Calls that may not be repeated: each key is claimed once, for good.
+//! Claims of calls that must run at most once: each idempotency key can be claimed once.
 //!
-//! A claim is never forgotten by itself. Memory is bounded by refusing new claims once the ledger
-//! is full, and by keeping only the newest answers; an operator may forget the oldest claims whose
-//! outcome is known.
+//! Claims do not expire. Memory is bounded by rejecting new claims when the ledger is full and by
+//! keeping only the newest answers. An operator may remove the oldest claims whose outcome is
+//! known.
 
 use std::collections::VecDeque;
 
@@ -14,39 +14,39 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Claims that the ledger holds at most.
+/// Maximum number of claims in the ledger.
 pub const MAX_CLAIMS: usize = 500_000;
 
-/// Bytes of answers that the ledger holds at most; the oldest answers go first.
+/// Maximum total size of kept answers, in bytes; the oldest answers are evicted first.
 pub const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Parts of the ledger; an insertion moves the claims of one part only.
-const SHARDS: usize = 1024;
+/// Number of shards; an insertion moves only the claims of one shard.
+const SHARD_COUNT: usize = 1024;
 
-/// Team and key, folded to a fixed size so that long keys take no more memory than short ones.
+/// Hash of team and key, so that long keys take no more memory than short ones.
 type ClaimId = [u8; 32];
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 enum ClaimState {
-    /// Claimed; whether the call ran is not known.
+    /// Claimed; it is unknown whether the call ran.
     Pending,
-    /// Ran, with its answer.
+    /// The call ran; its answer is kept.
     Answered(KeptAnswer),
-    /// Ran; the answer was too large or is no longer kept.
+    /// The call ran; its answer was too large or has been evicted.
     Settled,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct ClaimRecord {
-    /// Position among all claims ever made.
+    /// Sequence number of the claim.
     order: u64,
     digest: [u8; 32],
     attempt: AttemptId,
     state: ClaimState,
 }
 
-/// The ledger aggregate.
+/// All claims with their outcomes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ClaimLedger {
     shards: Vec<SortedTable<ClaimId, ClaimRecord>>,
@@ -58,17 +58,17 @@
 }
 
 impl ClaimLedger {
-    /// Claims that are held.
+    /// Number of claims in the ledger.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether no claim is held.
+    /// Whether the ledger holds no claim.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Bytes of answers that are held.
+    /// Total size of kept answers, in bytes.
     pub fn kept_bytes(&self) -> usize {
         self.kept_bytes
     }
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Forgets the oldest claims whose outcome is known, except the `keep` newest claims; returns
-    /// how many. A forgotten key could run again, so only an operator decides this.
+    /// Removes claims whose outcome is known, except the `keep` newest claims; returns their
+    /// number. A call whose key was removed could run again, so only an operator may request this.
     pub fn forget(&mut self, keep: u64) -> usize {
         let oldest_kept = self.last_order.saturating_sub(keep);
         let before = self.count;
@@ -108,7 +108,7 @@
                 _ if record.digest != *digest => LedgerReply::Mismatch,
                 ClaimState::Answered(answer) => LedgerReply::Answered(answer.clone()),
                 ClaimState::Settled => LedgerReply::AnswerNotKept,
-                // The claim's own reply was lost and is asked for again.
+                // The reply to this claim was lost, and the same attempt asks again.
                 ClaimState::Pending if record.attempt == attempt => LedgerReply::Claimed,
                 ClaimState::Pending => LedgerReply::Pending { attempt: record.attempt },
             };
@@ -141,13 +141,13 @@
                 record.state = ClaimState::Answered(answer.clone());
                 self.kept.push_back(id);
                 self.kept_bytes += answer.size();
-                self.drop_old_answers();
+                self.evict_answers();
             }
         }
         LedgerReply::Recorded
     }
 
-    fn drop_old_answers(&mut self) {
+    fn evict_answers(&mut self) {
         while self.kept_bytes > MAX_ANSWER_BYTES
             && let Some(oldest) = self.kept.pop_front()
         {
@@ -160,10 +160,10 @@
 
     fn release(&mut self, key: &ClaimKey, attempt: AttemptId) -> LedgerReply {
         let id = claim_id(key);
-        let held = self
+        let is_pending = self
             .record(&id)
             .is_some_and(|record| record.attempt == attempt && record.state == ClaimState::Pending);
-        if held {
+        if is_pending {
             self.shard_mut(&id).remove(&id);
             self.count -= 1;
         }
@@ -183,14 +183,14 @@
 
     fn shard_mut(&mut self, id: &ClaimId) -> &mut SortedTable<ClaimId, ClaimRecord> {
         if self.shards.is_empty() {
-            self.shards.resize_with(SHARDS, SortedTable::new);
+            self.shards.resize_with(SHARD_COUNT, SortedTable::new);
         }
         &mut self.shards[shard_of(id)]
     }
 }
 
 fn shard_of(id: &ClaimId) -> usize {
-    usize::from(u16::from_le_bytes([id[0], id[1]])) % SHARDS
+    usize::from(u16::from_le_bytes([id[0], id[1]])) % SHARD_COUNT
 }
 
 fn claim_id(key: &ClaimKey) -> ClaimId {
--- a/crates/control/src/state/mod.rs
+++ b/crates/control/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The replicated state: six aggregates, changed only by applying commands in log order.
+//! The replicated state machine: six aggregates, changed only by commands applied in log order.
 //!
-//! Applying is deterministic: no clocks, no randomness, no input or output.
+//! Commands are applied deterministically: without clocks, randomness or I/O.
 
 mod changes;
 mod command;
@@ -13,29 +13,29 @@
 pub use changes::MAX_ACCEPTED;
 pub use command::{CommandOutcome, ControlCommand, GroupProposal};
 pub use entries::EntryRoster;
-pub use groups::{GroupRegistry, HostSeat, RegisteredGroup};
+pub use groups::{GroupRegistry, HostBinding, RegisteredGroup};
 pub use ledger::{ClaimLedger, MAX_ANSWER_BYTES, MAX_CLAIMS};
-pub use rules::{AcceptedRules, RuleShelf};
+pub use rules::{AcceptedRules, RuleStore};
 pub use stops::{HostPlace, MAX_STOPS, StopBook, StopPlan, StopTarget};
 
 use briartray_model::codec::{self, CodecError};
 use briartray_quarantine::QuarantineList;
 use serde::{Deserialize, Serialize};
 
-/// Everything that control hosts agree on.
+/// The replicated state of the control hosts.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The rule book and its history of changes.
-    pub rules: RuleShelf,
-    /// Groups, hosts and fencing numbers.
+    /// The rule document in force and the outcomes of rule changes.
+    pub rules: RuleStore,
+    /// Groups, host bindings and fencing numbers.
     pub groups: GroupRegistry,
     /// Entries that may hold a rules lease.
     pub entries: EntryRoster,
     /// Planned stops.
     pub stops: StopBook,
-    /// Calls that may not be repeated.
+    /// Claims of calls that must run at most once.
     pub ledger: ClaimLedger,
-    /// Requests that are refused since they crash endpoints.
+    /// Requests that are rejected because they crash endpoints.
     pub quarantine: QuarantineList,
 }
 
@@ -43,16 +43,16 @@
     /// Encodes the whole state for a snapshot.
     ///
     /// # Errors
-    /// `CodecError::Encode` when a part has no encoding.
+    /// Returns `CodecError::Encode` if a part cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, CodecError> {
         codec::encode(self)
     }
 
-    /// Decodes a snapshot, whose checksum was checked when it was read; it may be larger than a
-    /// message.
+    /// Decodes a snapshot. There is no size limit as for messages; the checksum has already been
+    /// verified when the snapshot was read.
     ///
     /// # Errors
-    /// `CodecError::Decode` when the snapshot is of another version.
+    /// Returns `CodecError::Decode` if the bytes do not match the current state format.
     pub fn decode(bytes: &[u8]) -> Result<Self, CodecError> {
         let decoded = bincode::serde::decode_from_slice(bytes, bincode::config::standard());
         decoded.map(|(state, _)| state).map_err(|source| CodecError::Decode { source })
--- a/crates/control/src/state/rules.rs
+++ b/crates/control/src/state/rules.rs
@@ -1,4 +1,4 @@
-//! The rule book as accepted, and the outcome of every change that was sent.
+//! The rule document in force, and the outcome of every rule change.
 
 use briartray_model::names::{ChangeId, RevisionNumber};
 use briartray_model::rules::accept_rules;
@@ -10,37 +10,37 @@
 /// The rule document in force.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct AcceptedRules {
-    /// Its revision; zero before the first change.
+    /// Revision of the document; zero before the first change.
     pub revision: RevisionNumber,
     /// The document in YAML.
     pub text: String,
 }
 
-/// The rule book aggregate.
+/// The rule document in force with the history of changes.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct RuleShelf {
+pub struct RuleStore {
     current: AcceptedRules,
     history: ChangeHistory,
 }
 
-impl RuleShelf {
-    /// The document in force.
+impl RuleStore {
+    /// The rule document in force.
     pub fn current(&self) -> &AcceptedRules {
         &self.current
     }
 
-    /// Applies one change; a resend gets the first outcome again, or is told that it is too old.
+    /// Applies a change; a resend gets its original outcome or is answered as too old.
     pub fn apply(
         &mut self,
         change: ChangeId,
         expect: Option<RevisionNumber>,
         text: &str,
     ) -> CommandOutcome {
-        if let Some(outcome) = self.history.settled(change, expect, text) {
+        if let Some(outcome) = self.history.known_outcome(change, expect, text) {
             return outcome;
         }
         let outcome = self.replace(expect, text);
-        self.history.remember(change, text, &outcome);
+        self.history.record(change, text, &outcome);
         outcome
     }
 
--- a/crates/control/src/state/stops.rs
+++ b/crates/control/src/state/stops.rs
@@ -1,9 +1,9 @@
-//! Planned stops that were committed: which endpoints are on their way out.
+//! Committed planned stops, which determine the endpoints that must leave.
 //!
-//! A stop holds until an operator cancels it, across restarts of any process. Whether it is
-//! allowed depends on which replicas are up, which is no part of the replicated state; so the
-//! control host that checks names the revision of this book that it checked against, and a stop
-//! that was committed in between sends it back to check again.
+//! A stop remains planned across restarts until an operator cancels it. Whether it is allowed
+//! depends on which replicas are up, which is not part of the replicated state. The control host
+//! that checks a stop therefore names the revision of this book that it checked against; if another
+//! stop was committed since, the command is refused and must be checked again.
 
 use briartray_model::names::{ChangeId, GroupId, HostName, ProviderName, StopId, ZoneName};
 use briartray_model::{SortedTable, plain_value};
@@ -11,35 +11,35 @@
 
 use super::CommandOutcome;
 
-/// Stops that may be planned at one time.
+/// Maximum number of planned stops.
 pub const MAX_STOPS: usize = 1000;
 
 plain_value! {
-    /// What a stop takes out of service.
+    /// Hosts that a stop takes out of service.
     pub enum StopTarget {
-        /// One host.
+        /// A single host.
         Host(HostName),
         /// The hosts that belonged to a group when the stop was planned.
         Group(GroupId, Vec<HostName>),
-        /// Every host of an availability zone.
+        /// All hosts of an availability zone.
         Zone(ZoneName),
-        /// Every host of a provider.
+        /// All hosts of a provider.
         Provider(ProviderName),
     }
 
-    /// One planned stop.
+    /// A planned stop.
     pub struct StopPlan {
-        /// The operator's id for the change.
+        /// Id of the change, chosen by the operator.
         pub change: ChangeId,
-        /// What is stopped.
+        /// Hosts that are stopped.
         pub target: StopTarget,
     }
 }
 
-/// What decides whether a host is part of a stop.
+/// Properties of a host that determine whether a stop covers it.
 #[derive(Debug, Clone, Copy)]
 pub struct HostPlace<'a> {
-    /// The host.
+    /// Name of the host.
     pub host: &'a HostName,
     /// Its availability zone.
     pub zone: &'a ZoneName,
@@ -48,7 +48,7 @@
 }
 
 impl StopTarget {
-    /// Whether the host at `place` is stopped.
+    /// Whether the stop covers the host at `place`.
     pub fn covers(&self, place: HostPlace<'_>) -> bool {
         match self {
             Self::Host(host) => host == place.host,
@@ -59,28 +59,28 @@
     }
 }
 
-/// The stop plans aggregate.
+/// All planned stops.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct StopBook {
     stops: SortedTable<StopId, StopPlan>,
     last_stop: StopId,
     revision: u64,
-    /// Groups of planned stops that have begun to leave.
+    /// Groups of planned stops that have started to leave.
     begun: Vec<GroupId>,
 }
 
 impl StopBook {
-    /// The stops in order of planning.
+    /// Planned stops in order of planning.
     pub fn stops(&self) -> impl Iterator<Item = (StopId, &StopPlan)> {
         self.stops.iter().map(|(stop, plan)| (*stop, plan))
     }
 
-    /// Grows with every change.
+    /// Revision of the book; increases when a stop is planned or cancelled.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the host at `place` is part of a stop.
+    /// Whether a planned stop covers the host at `place`.
     pub fn is_leaving(&self, place: HostPlace<'_>) -> bool {
         self.stops.values().any(|plan| plan.target.covers(place))
     }
@@ -90,7 +90,7 @@
         self.stops.iter().find(|(_, plan)| plan.change == change).map(|(stop, _)| *stop)
     }
 
-    /// Plans a stop that was checked against `expect`; a resend gets the first outcome again.
+    /// Plans a stop that was checked against revision `expect`; a resend gets its original outcome.
     pub fn plan(&mut self, expect: u64, plan: &StopPlan) -> CommandOutcome {
         if let Some(stop) = self.planned_by(plan.change) {
             return CommandOutcome::StopPlanned { stop };
@@ -102,7 +102,9 @@
         }
         if self.stops.len() >= MAX_STOPS {
             return CommandOutcome::StopRefused {
-                reason: format!("{MAX_STOPS} stops are planned; cancel those that are over"),
+                reason: format!(
+                    "the limit of {MAX_STOPS} planned stops is reached; cancel those that are done"
+                ),
             };
         }
         self.revision += 1;
@@ -111,13 +113,13 @@
         CommandOutcome::StopPlanned { stop: self.last_stop }
     }
 
-    /// Whether `group` has begun to leave.
+    /// Whether `group` has started to leave.
     pub fn has_begun(&self, group: GroupId) -> bool {
         self.begun.contains(&group)
     }
 
-    /// Notes that `group` begins to leave, so that a new leader does not give it work again;
-    /// `exists` tells which groups there still are.
+    /// Records that `group` starts to leave, so that a new leader does not assign work to it again.
+    /// Groups for which `exists` returns `false` are dropped from the record.
     pub fn begin(&mut self, group: GroupId, exists: impl Fn(GroupId) -> bool) -> CommandOutcome {
         self.begun.retain(|known| *known != group && exists(*known));
         if exists(group) {
@@ -126,14 +128,14 @@
         CommandOutcome::LeaveBegun { group }
     }
 
-    /// Takes a stop back; cancelling twice is no error.
+    /// Cancels a stop; cancelling it again is not an error.
     pub fn cancel(&mut self, stop: StopId) -> CommandOutcome {
         if stop > self.last_stop || stop == StopId::default() {
             return CommandOutcome::StopUnknown { stop };
         }
         if self.stops.remove(&stop).is_some() {
             self.revision += 1;
-            // Groups of other stops begin anew.
+            // Groups covered by the remaining stops are recorded again when they leave.
             self.begun.clear();
         }
         CommandOutcome::StopCancelled { stop }
--- a/crates/control/src/storage/access.rs
+++ b/crates/control/src/storage/access.rs
@@ -1,19 +1,19 @@
-//! The few file operations that may fail at the worst moment, replaceable for tests.
+//! File writes and syncs, replaceable in tests to inject disk faults.
 
 use std::fs::File;
 use std::io::{self, Write};
 
-/// Adds bytes at the end of a file.
+/// Appends bytes to a file.
 pub type FileWrite = Box<dyn FnMut(&mut File, &[u8]) -> io::Result<()> + Send>;
 
-/// Makes what was written last.
+/// Syncs a file to disk.
 pub type FileSync = Box<dyn FnMut(&File) -> io::Result<()> + Send>;
 
-/// Writes and syncs of a data folder.
+/// Write and sync operations of a data folder.
 pub struct FileAccess {
-    /// Adds bytes at the end of a file.
+    /// Appends bytes to a file.
     pub write: FileWrite,
-    /// Makes what was written last.
+    /// Syncs a file to disk.
     pub sync: FileSync,
 }
 
--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -1,4 +1,4 @@
-//! Why a data folder cannot be used.
+//! Errors of the data folder.
 
 use std::path::PathBuf;
 
@@ -8,39 +8,40 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum StorageError {
-    /// Another process holds the folder.
+    /// Another process has locked the folder.
     #[snafu(display(
-        "data folder {} is in use; stop the other process or name another folder", path.display()
+        "data folder {} is in use; stop the other process or configure another folder",
+        path.display()
     ))]
     Locked {
-        /// The folder.
+        /// The data folder.
         path: PathBuf,
     },
-    /// The system refused a read, write or sync.
+    /// A file operation failed.
     #[snafu(display(
-        "{}: cannot {action}: {source}; free space or replace the disk, then start again",
+        "{}: cannot {action}: {source}; free space or replace the disk, then restart the process",
         path.display()
     ))]
     System {
-        /// The file or folder.
+        /// File or folder of the operation.
         path: PathBuf,
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// A file holds something else than was synced.
+    /// The contents of a file differ from what was synced.
     #[snafu(display(
         "{} is damaged at byte {offset}: {detail}; move the whole folder aside and start with an \
-         empty one, the other control hosts bring it up to date",
+         empty one; the other control hosts replicate the log to it",
         path.display()
     ))]
     Damaged {
-        /// The file.
+        /// The damaged file.
         path: PathBuf,
-        /// Where the damage begins.
+        /// Byte offset at which the damage begins.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         detail: String,
     },
     /// The folder belongs to another control host.
@@ -49,43 +50,44 @@
         path.display()
     ))]
     OtherNode {
-        /// The folder.
+        /// The data folder.
         path: PathBuf,
-        /// Node that it belongs to.
+        /// Node name in the folder.
         found: String,
-        /// Node of the settings.
+        /// Node name in the settings.
         expected: String,
     },
-    /// The control hosts are not those that founded the log.
+    /// The folder was created for a different set of control hosts.
     #[snafu(display(
-        "data folder {} was made for the control hosts {found}, the settings name {expected}; \
-         keep the names (an address may change)",
+        "data folder {} was created for the control hosts {found}, but the settings name \
+         {expected}; restore the names (addresses may change)",
         path.display()
     ))]
     OtherMembers {
-        /// The folder.
+        /// The data folder.
         path: PathBuf,
-        /// Control hosts of the folder.
+        /// Control hosts in the folder.
         found: String,
-        /// Control hosts of the settings.
+        /// Control hosts in the settings.
         expected: String,
     },
-    /// An earlier write failed.
-    #[snafu(display("an earlier write to {} failed; start the process again", path.display()))]
+    /// An earlier write failed, so the folder accepts no more writes.
+    #[snafu(display("an earlier write to {} failed; restart the process", path.display()))]
     Failed {
-        /// The folder.
+        /// The data folder.
         path: PathBuf,
     },
-    /// There is nothing to read.
-    #[snafu(display("{} is no data folder; check the path", path.display()))]
+    /// The path contains no data folder.
+    #[snafu(display("{} contains no data folder; check the path", path.display()))]
     Missing {
-        /// The folder.
+        /// The path.
         path: PathBuf,
     },
 }
 
 impl StorageError {
-    /// Whether what the folder holds cannot be used. Otherwise it may open later as it is.
+    /// Whether the contents make the folder unusable; after other errors it may open unchanged
+    /// later.
     pub fn blames_contents(&self) -> bool {
         match self {
             Self::Damaged { .. } | Self::OtherNode { .. } | Self::OtherMembers { .. } => true,
--- a/crates/control/src/storage/folder.rs
+++ b/crates/control/src/storage/folder.rs
@@ -1,4 +1,4 @@
-//! Opening a data folder and changing it.
+//! Opening and modifying a data folder.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -8,52 +8,52 @@
 use snafu::{ResultExt, ensure};
 
 use super::FileAccess;
+use super::checked_file::{self, damaged, sync_folder};
 use super::error::{
     DamagedSnafu, FailedSnafu, LockedSnafu, OtherMembersSnafu, OtherNodeSnafu, StorageError,
     SystemSnafu,
 };
 use super::record::{SyncMark, write_record};
-use super::sealed::{self, damaged, sync_folder};
 use super::segment::{self, LogSegment, SegmentScan};
 use crate::agreement::{
-    FolderId, HardState, LogEntry, LogSnapshot, MemberSeat, RecoveredState, SnapshotMeta,
-    StorageWrite, WriteBatch,
+    FolderId, HardState, LogEntry, LogSnapshot, RecoveredState, SnapshotMeta, StorageWrite,
+    VoterSeat, WriteBatch,
 };
 
-pub(super) const LOCK: &str = "lock";
-pub(super) const IDENTITY: &str = "identity";
-pub(super) const VOTE: &str = "vote";
-pub(super) const SNAPSHOT: &str = "snapshot";
+pub(super) const LOCK_FILE: &str = "lock";
+pub(super) const IDENTITY_FILE: &str = "identity";
+pub(super) const VOTE_FILE: &str = "vote";
+pub(super) const SNAPSHOT_FILE: &str = "snapshot";
 
-/// Size after which a new log file is begun, in bytes.
+/// Size at which a new log file is started, in bytes.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
 plain_value! {
-    /// Whose folder this is.
+    /// Owner of a data folder.
     pub struct FolderIdentity {
-        /// The control host.
+        /// Name of the control host.
         pub node: NodeName,
         /// Random id of the folder.
         pub folder: FolderId,
-        /// The control hosts, sorted.
+        /// The control hosts, sorted by name.
         pub members: Vec<NodeName>,
-        /// Who founded the log, when this folder took part.
-        pub founding: Option<Vec<MemberSeat>>,
+        /// The founding seats, if known to this host.
+        pub founding: Option<Vec<VoterSeat>>,
     }
 }
 
-/// A folder that was opened, and what it held.
+/// A data folder with the contents that were read when it was opened.
 #[derive(Debug)]
 pub struct OpenedFolder {
     /// The folder, ready for writes.
     pub folder: DataFolder,
     /// Random id of the folder.
     pub id: FolderId,
-    /// What it held.
+    /// Contents at the time of opening.
     pub recovered: RecoveredState,
 }
 
-/// A data folder in use by this process.
+/// A data folder that is locked by this process.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
@@ -61,23 +61,24 @@
     identity: FolderIdentity,
     segments: Vec<LogSegment>,
     tail: Option<File>,
-    /// The next records begin a file: numbers of syncs have no gaps inside one.
-    begin: bool,
+    /// The next records go to a new file, because sync numbers must be contiguous within a file.
+    needs_new_segment: bool,
     next_sync: u64,
     failed: bool,
     _lock: File,
 }
 
 impl DataFolder {
-    /// Opens the folder of `node`, or makes it when it is empty; `fresh` is its id then.
+    /// Opens the folder of `node`, or creates it with the id `new_id` if it does not exist.
     ///
     /// # Errors
-    /// A `StorageError` that names file and remedy.
+    /// Returns a `StorageError` if the folder is locked, damaged or of another host, or if a file
+    /// operation fails.
     pub fn open(
         path: &Path,
         node: &NodeName,
         members: &[NodeName],
-        fresh: FolderId,
+        new_id: FolderId,
         mut access: FileAccess,
     ) -> Result<OpenedFolder, StorageError> {
         std::fs::create_dir_all(path).context(SystemSnafu { path, action: "create" })?;
@@ -86,16 +87,16 @@
         members.sort();
         members.dedup();
         let found = read_identity(path)?;
-        let made = found.is_none();
+        let created = found.is_none();
         let identity = match found {
             Some(identity) => identity,
-            None => make(&mut access, path, node, &members, fresh)?,
+            None => create_folder(&mut access, path, node, &members, new_id)?,
         };
         check_owner(path, &identity, node, &members)?;
         let mut contents = FolderContents::read(path)?;
-        contents.drop_replaced()?;
-        if !made {
-            keep_again(&mut access, path, &contents)?;
+        contents.remove_superseded_segments()?;
+        if !created {
+            rewrite_newest_data(&mut access, path, &contents)?;
         }
         let id = identity.folder;
         let recovered = RecoveredState {
@@ -112,7 +113,7 @@
             identity,
             segments,
             tail: None,
-            begin: true,
+            needs_new_segment: true,
             next_sync,
             failed: false,
             _lock: lock,
@@ -120,51 +121,52 @@
         Ok(OpenedFolder { folder, id, recovered })
     }
 
-    /// Makes the changes of `batch` last.
+    /// Writes and syncs all changes of `batch`.
     ///
     /// # Errors
-    /// A `StorageError`; the folder takes no more changes then.
+    /// Returns a `StorageError` if a file operation fails now or has failed before; the folder then
+    /// accepts no more writes.
     pub fn write(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
         ensure!(!self.failed, FailedSnafu { path: &self.path });
-        // Stays set when a change fails: what the disk holds then is not known.
+        // Remains set after a failure, because the contents of the disk are then unknown.
         self.failed = true;
         for change in &batch.writes {
-            self.change(change)?;
+            self.apply_write(change)?;
         }
         self.failed = false;
         Ok(())
     }
 
-    fn change(&mut self, change: &StorageWrite) -> Result<(), StorageError> {
+    fn apply_write(&mut self, change: &StorageWrite) -> Result<(), StorageError> {
         match change {
             StorageWrite::Founding(seats) => {
                 self.identity.founding = Some(seats.clone());
                 write_identity(&mut self.access, &self.path, &self.identity)
             }
-            StorageWrite::Hard(hard) => self.replace(VOTE, &encode(hard)),
+            StorageWrite::Hard(hard) => self.replace(VOTE_FILE, &encode(hard)),
             StorageWrite::Truncate(index) => self.truncate(*index),
             StorageWrite::Append(entries) => self.append(entries),
             StorageWrite::Snapshot { snapshot, keep_after } => {
-                self.replace(SNAPSHOT, &encode_snapshot(snapshot))?;
-                self.drop_segments(*keep_after)
+                self.replace(SNAPSHOT_FILE, &encode_snapshot(snapshot))?;
+                self.remove_compacted_segments(*keep_after)
             }
             StorageWrite::Install(snapshot) => {
-                // The snapshot first: with it the old records no longer matter, without it they
-                // are all there is.
-                self.replace(SNAPSHOT, &encode_snapshot(snapshot))?;
+                // Store the snapshot first: after a crash in between, either the snapshot
+                // supersedes the old records, or the records are still complete.
+                self.replace(SNAPSHOT_FILE, &encode_snapshot(snapshot))?;
                 self.truncate(LogIndex(0))
             }
         }
     }
 
     fn replace(&mut self, name: &str, content: &[u8]) -> Result<(), StorageError> {
-        sealed::replace(&mut self.access, &self.path, name, content)
+        checked_file::replace(&mut self.access, &self.path, name, content)
     }
 
     fn append(&mut self, entries: &[LogEntry]) -> Result<(), StorageError> {
         let Some(first) = entries.first() else { return Ok(()) };
         let full = self.segments.last().is_none_or(|tail| tail.size >= SEGMENT_BYTES);
-        if full || self.begin {
+        if full || self.needs_new_segment {
             self.begin_segment(first.index)?;
         }
         let Some(segment) = self.segments.last_mut() else { return Ok(()) };
@@ -172,9 +174,9 @@
         let number = self.next_sync;
         self.next_sync += 1;
         for (position, entry) in entries.iter().enumerate() {
-            segment.starts.push(segment.size + bytes.len() as u64);
-            let left = u32::try_from(entries.len() - position - 1).unwrap_or(u32::MAX);
-            write_record(&mut bytes, entry, SyncMark { number, left });
+            segment.record_offsets.push(segment.size + bytes.len() as u64);
+            let remaining = u32::try_from(entries.len() - position - 1).unwrap_or(u32::MAX);
+            write_record(&mut bytes, entry, SyncMark { number, remaining });
         }
         segment.size += bytes.len() as u64;
         let path = &segment.path;
@@ -187,22 +189,22 @@
     }
 
     fn begin_segment(&mut self, first: LogIndex) -> Result<(), StorageError> {
-        let sync = self.next_sync;
-        let path = segment::path_of(&self.path, first, sync);
-        let segment = LogSegment { path, first, sync, starts: Vec::new(), size: 0 };
+        let first_sync = self.next_sync;
+        let path = segment::path_of(&self.path, first, first_sync);
+        let segment = LogSegment { path, first, first_sync, record_offsets: Vec::new(), size: 0 };
         self.tail = Some(segment.open()?);
-        // A file that was begun and left empty is taken again.
+        // A file that was created but is still empty is reused.
         if self.segments.last().is_none_or(|last| last.path != segment.path) {
             self.segments.push(segment);
         }
-        self.begin = false;
+        self.needs_new_segment = false;
         sync_folder(&mut self.access, &self.path)
     }
 
-    /// Drops the records of entries from `index` on.
+    /// Removes the records of all entries from `index` on.
     fn truncate(&mut self, index: LogIndex) -> Result<(), StorageError> {
         self.tail = None;
-        self.begin = true;
+        self.needs_new_segment = true;
         while let Some(segment) = self.segments.last_mut() {
             if segment.first >= index {
                 let path = segment.path.clone();
@@ -212,28 +214,29 @@
             }
             if segment.end() > index {
                 let kept = usize::try_from(index.0 - segment.first.0).unwrap_or(usize::MAX);
-                segment.size = segment.starts[kept];
-                segment.starts.truncate(kept);
-                shorten(&mut self.access, &segment.path, segment.size)?;
+                segment.size = segment.record_offsets[kept];
+                segment.record_offsets.truncate(kept);
+                truncate_file(&mut self.access, &segment.path, segment.size)?;
             }
             break;
         }
         sync_folder(&mut self.access, &self.path)
     }
 
-    /// Removes files whose entries are all covered up to `keep_after`.
-    fn drop_segments(&mut self, keep_after: LogIndex) -> Result<(), StorageError> {
+    /// Removes files whose entries all have an index of at most `keep_after`.
+    fn remove_compacted_segments(&mut self, keep_after: LogIndex) -> Result<(), StorageError> {
         while self.segments.len() > 1 && self.segments[1].first.0 <= keep_after.0 + 1 {
             let path = self.segments.remove(0).path;
             std::fs::remove_file(&path).context(SystemSnafu { path, action: "remove" })?;
         }
-        // The next snapshot can then drop what is full now.
-        self.begin |= self.segments.last().is_some_and(|tail| tail.size >= SEGMENT_BYTES / 4);
+        // Start a new file early, so that the next snapshot can remove the current one.
+        self.needs_new_segment |=
+            self.segments.last().is_some_and(|tail| tail.size >= SEGMENT_BYTES / 4);
         Ok(())
     }
 }
 
-/// What the files of a folder hold.
+/// Contents of all files in a folder.
 #[derive(Debug)]
 pub(super) struct FolderContents {
     pub(super) hard: HardState,
@@ -242,16 +245,16 @@
 }
 
 impl FolderContents {
-    /// Reads everything, changes nothing.
+    /// Reads all files without changing any.
     pub(super) fn read(path: &Path) -> Result<Self, StorageError> {
-        let Some(vote) = sealed::read(path, VOTE)? else {
-            return damaged(&path.join(VOTE), "the file is missing");
+        let Some(vote) = checked_file::read(path, VOTE_FILE)? else {
+            return damaged(&path.join(VOTE_FILE), "the file is missing");
         };
         let hard: HardState = match codec::decode(&vote) {
             Ok(hard) => hard,
-            Err(error) => return damaged(&path.join(VOTE), &error.to_string()),
+            Err(error) => return damaged(&path.join(VOTE_FILE), &error.to_string()),
         };
-        let snapshot = match sealed::read(path, SNAPSHOT)? {
+        let snapshot = match checked_file::read(path, SNAPSHOT_FILE)? {
             Some(bytes) => Some(decode_snapshot(path, &bytes)?),
             None => None,
         };
@@ -261,7 +264,7 @@
         Ok(contents)
     }
 
-    /// First and last entry that can be read, the snapshot counted in.
+    /// Index of the last entry, including the entries in the snapshot.
     pub(super) fn last_index(&self) -> LogIndex {
         let covered = self.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.meta.index);
         let end = self
@@ -271,17 +274,19 @@
         covered.max(end)
     }
 
-    /// Removes records that a snapshot replaced, when the process ended before it could.
+    /// Removes records superseded by a snapshot, if the process ended before removing them.
     ///
-    /// They do not lead up to the snapshot: left in place, entries that were never committed
-    /// would follow it, or a gap would.
-    fn drop_replaced(&mut self) -> Result<(), StorageError> {
+    /// Such records are not contiguous with the snapshot. Keeping them could leave a gap, or
+    /// entries after the snapshot that were never committed.
+    fn remove_superseded_segments(&mut self) -> Result<(), StorageError> {
         let Some(meta) = self.snapshot.as_ref().map(|snapshot| &snapshot.meta) else {
             return Ok(());
         };
-        let held = self.scans.iter().flat_map(|scan| &scan.entries).find(|e| e.index == meta.index);
-        let ahead = self.scans.first().is_some_and(|scan| scan.segment.first == meta.index.next());
-        if ahead || held.is_some_and(|entry| entry.term == meta.term) {
+        let entry_at_snapshot =
+            self.scans.iter().flat_map(|scan| &scan.entries).find(|e| e.index == meta.index);
+        let continues_snapshot =
+            self.scans.first().is_some_and(|scan| scan.segment.first == meta.index.next());
+        if continues_snapshot || entry_at_snapshot.is_some_and(|entry| entry.term == meta.term) {
             return Ok(());
         }
         for scan in self.scans.drain(..) {
@@ -300,8 +305,10 @@
         }
         let last = self.last_index();
         if last < self.hard.commit {
-            let detail =
-                format!("entries to {} were committed, {last} is the last one", self.hard.commit);
+            let detail = format!(
+                "entries up to {} were committed, but the last entry is {last}",
+                self.hard.commit
+            );
             return damaged(path, &detail);
         }
         Ok(())
@@ -314,9 +321,9 @@
         let first = segment.first;
         if let Some(before) = scans.last() {
             let offset = before.segment.size;
-            let detail = format!("the records of entries up to {first} do not read");
-            let whole = before.torn == 0 && before.segment.end() == first;
-            ensure!(whole, DamagedSnafu { path: &before.segment.path, offset, detail });
+            let detail = format!("some records before entry {first} cannot be read");
+            let is_contiguous = before.torn_bytes == 0 && before.segment.end() == first;
+            ensure!(is_contiguous, DamagedSnafu { path: &before.segment.path, offset, detail });
         }
         scans.push(segment::scan(segment)?);
     }
@@ -324,7 +331,7 @@
 }
 
 fn lock(path: &Path) -> Result<File, StorageError> {
-    let file = path.join(LOCK);
+    let file = path.join(LOCK_FILE);
     let lock = File::options()
         .create(true)
         .truncate(false)
@@ -340,20 +347,24 @@
     }
 }
 
-/// Makes an empty folder; the identity comes last, so that a half-made folder is made again.
-fn make(
+/// Initializes an empty folder; the identity is written last, so that an interrupted run is redone.
+fn create_folder(
     access: &mut FileAccess,
     path: &Path,
     node: &NodeName,
     members: &[NodeName],
     folder: FolderId,
 ) -> Result<FolderIdentity, StorageError> {
-    let strange = sealed::read(path, SNAPSHOT)?.is_some() || !segment::list(path)?.is_empty();
-    if strange {
-        return damaged(&path.join(IDENTITY), "the file is missing, but a log is there");
+    let has_log_data =
+        checked_file::read(path, SNAPSHOT_FILE)?.is_some() || !segment::list(path)?.is_empty();
+    if has_log_data {
+        return damaged(
+            &path.join(IDENTITY_FILE),
+            "the file is missing, although the folder holds a log or snapshot",
+        );
     }
-    log::info!(path = path.display().to_string().as_str(); "a new data folder is made");
-    sealed::replace(access, path, VOTE, &encode(&HardState::default()))?;
+    log::info!(path = path.display().to_string().as_str(); "creating a new data folder");
+    checked_file::replace(access, path, VOTE_FILE, &encode(&HardState::default()))?;
     let identity =
         FolderIdentity { node: node.clone(), folder, members: members.to_vec(), founding: None };
     write_identity(access, path, &identity)?;
@@ -373,13 +384,13 @@
     Ok(())
 }
 
-/// Writes anew what the last sync of an earlier run may not have reached: the newest records, the
-/// vote, and the names of both.
+/// Rewrites the data that the last sync of an earlier process may not have stored: the newest
+/// records, the vote, and the directory entries of both.
 ///
-/// When a sync fails, the system goes on to show the bytes and takes them for clean, so that
-/// syncing again tells nothing. Entries that were counted as kept on that ground would be missing
-/// after a loss of power, although a majority was said to hold them.
-fn keep_again(
+/// After a failed sync, the operating system still returns the data and marks it as clean, so that
+/// another sync has no effect. Entries counted as synced on that basis could be lost in a power
+/// failure although they were reported as held by a majority.
+fn rewrite_newest_data(
     access: &mut FileAccess,
     path: &Path,
     contents: &FolderContents,
@@ -387,28 +398,29 @@
     if let Some(scan) = contents.scans.last() {
         rewrite_tail(access, path, scan)?;
     }
-    sealed::replace(access, path, VOTE, &encode(&contents.hard))
+    checked_file::replace(access, path, VOTE_FILE, &encode(&contents.hard))
 }
 
-/// Replaces the newest file of records by its whole records, without a torn tail.
+/// Replaces the newest log file by its complete records, without a torn tail.
 fn rewrite_tail(
     access: &mut FileAccess,
     folder: &Path,
     scan: &SegmentScan,
 ) -> Result<(), StorageError> {
     let path = &scan.segment.path;
-    if scan.torn > 0 {
+    if scan.torn_bytes > 0 {
         log::warn!(
             file = path.display().to_string().as_str(), offset = scan.segment.size,
-            bytes = scan.torn; "a torn tail was cut off; it had not been answered"
+            bytes = scan.torn_bytes;
+            "removed a torn tail of the log; its entries were never acknowledged"
         );
     }
-    let mut bytes = sealed::read_file(path)?.unwrap_or_default();
+    let mut bytes = checked_file::read_file(path)?.unwrap_or_default();
     bytes.truncate(usize::try_from(scan.segment.size).unwrap_or(usize::MAX));
-    sealed::replace_file(access, folder, path, &[&bytes])
+    checked_file::replace_file(access, folder, path, &[&bytes])
 }
 
-fn shorten(access: &mut FileAccess, path: &Path, size: u64) -> Result<(), StorageError> {
+fn truncate_file(access: &mut FileAccess, path: &Path, size: u64) -> Result<(), StorageError> {
     let file =
         File::options().write(true).open(path).context(SystemSnafu { path, action: "open" })?;
     file.set_len(size).context(SystemSnafu { path, action: "shorten" })?;
@@ -416,10 +428,10 @@
 }
 
 pub(super) fn read_identity(path: &Path) -> Result<Option<FolderIdentity>, StorageError> {
-    let Some(bytes) = sealed::read(path, IDENTITY)? else { return Ok(None) };
+    let Some(bytes) = checked_file::read(path, IDENTITY_FILE)? else { return Ok(None) };
     match codec::decode(&bytes) {
         Ok(identity) => Ok(Some(identity)),
-        Err(error) => damaged(&path.join(IDENTITY), &error.to_string()),
+        Err(error) => damaged(&path.join(IDENTITY_FILE), &error.to_string()),
     }
 }
 
@@ -428,19 +440,19 @@
     path: &Path,
     identity: &FolderIdentity,
 ) -> Result<(), StorageError> {
-    sealed::replace(access, path, IDENTITY, &encode(identity))
+    checked_file::replace(access, path, IDENTITY_FILE, &encode(identity))
 }
 
 fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    codec::encode(value).expect("plain data has an encoding")
+    codec::encode(value).expect("plain data can be encoded")
 }
 
-/// Length of the head, the head, the encoded state.
+/// Encodes a snapshot: length of the header, header, state.
 fn encode_snapshot(snapshot: &LogSnapshot) -> Vec<u8> {
-    let head = encode(&snapshot.meta);
-    let mut bytes = Vec::with_capacity(4 + head.len() + snapshot.data.len());
-    bytes.extend_from_slice(&u32::try_from(head.len()).unwrap_or(u32::MAX).to_le_bytes());
-    bytes.extend_from_slice(&head);
+    let header = encode(&snapshot.meta);
+    let mut bytes = Vec::with_capacity(4 + header.len() + snapshot.data.len());
+    bytes.extend_from_slice(&u32::try_from(header.len()).unwrap_or(u32::MAX).to_le_bytes());
+    bytes.extend_from_slice(&header);
     bytes.extend_from_slice(&snapshot.data);
     bytes
 }
@@ -448,13 +460,13 @@
 fn decode_snapshot(path: &Path, bytes: &[u8]) -> Result<LogSnapshot, StorageError> {
     let parsed = bytes.split_at_checked(4).and_then(|(length, rest)| {
         let length = u32::from_le_bytes(length.try_into().ok()?);
-        let (head, data) = rest.split_at_checked(usize::try_from(length).ok()?)?;
-        let meta: SnapshotMeta = codec::decode(head).ok()?;
+        let (header, data) = rest.split_at_checked(usize::try_from(length).ok()?)?;
+        let meta: SnapshotMeta = codec::decode(header).ok()?;
         Some(LogSnapshot { meta, data: std::sync::Arc::new(data.to_vec()) })
     });
     match parsed {
         Some(snapshot) => Ok(snapshot),
-        None => damaged(&path.join(SNAPSHOT), "the head does not read"),
+        None => damaged(&path.join(SNAPSHOT_FILE), "the snapshot header cannot be decoded"),
     }
 }
 
--- a/crates/control/src/storage/mod.rs
+++ b/crates/control/src/storage/mod.rs
@@ -1,26 +1,26 @@
-//! The data folder of one control host.
+//! Persistent storage of one control host.
 //!
-//! | file | holds |
+//! | file | contents |
 //! |---|---|
-//! | `lock` | nothing; locked while a process uses the folder |
+//! | `lock` | empty; locked while a process uses the folder |
 //! | `identity` | node, random folder id, control hosts, founding seats |
-//! | `vote` | term, vote and commit |
+//! | `vote` | term, vote and commit index |
 //! | `snapshot` | the newest snapshot |
-//! | `log-N` | records from entry N on, oldest file first |
+//! | `log-N-S` | log records from entry N on, first written by sync number S |
 //!
-//! The first three kinds are replaced as a whole (write aside, sync, rename, sync the folder).
-//! Records are only added; a record says which sync it belongs to, so that a tail which was torn
-//! by a crash is told from damage to something that had been synced. The first failed write or
-//! sync is final: what a disk holds after one is not known, and a second sync may succeed without
-//! having written anything. Opening a folder therefore writes its newest records and its vote
-//! again.
+//! `identity`, `vote` and `snapshot` are replaced atomically: write a temporary file, sync, rename,
+//! sync the folder. Log files are append-only. Each record carries the number of its sync, which
+//! distinguishes a tail torn by a crash from damage to data that had been synced. After the first
+//! failed write or sync, no further write is accepted: the contents of the disk are then unknown,
+//! and a second sync may succeed without having written anything. Opening a folder therefore
+//! rewrites its newest records and its vote.
 
 mod access;
+mod checked_file;
 mod error;
 mod folder;
 mod record;
 mod report;
-mod sealed;
 mod segment;
 mod writer;
 
--- a/crates/control/src/storage/record.rs
+++ b/crates/control/src/storage/record.rs
@@ -1,29 +1,30 @@
-//! Records of the log: a head of fixed size, then the payload.
+//! Log records: a header of fixed size followed by the payload.
 //!
-//! Head: length of the payload (4 bytes), checksum of all that follows (4), index (8), term (8),
-//! number of the sync (8), records of that sync still to come (4); little endian.
+//! Header fields, in bytes: payload length (4), checksum of all other header fields and the
+//! payload (4), index (8), term (8), sync number (8), remaining records of that sync (4). All
+//! integers are little endian.
 
 use briartray_model::codec;
 use briartray_model::names::{LogIndex, NodeName, TermNumber};
 
 use crate::agreement::{EntryPayload, LogEntry};
 
-/// Bytes before the payload.
-pub(super) const HEAD_BYTES: usize = 36;
+/// Size of the record header, in bytes.
+pub(super) const HEADER_BYTES: usize = 36;
 
-/// Largest payload that is taken for one.
-const MAX_PAYLOAD: usize = 16 * 1024 * 1024;
+/// Maximum payload size that is accepted when reading, in bytes.
+const MAX_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
-/// Which sync a record belongs to.
+/// Position of a record within its sync.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) struct SyncMark {
-    /// Number of the sync; grows by one.
+    /// Sync number, increasing by one with each sync.
     pub(super) number: u64,
-    /// Records of it that follow.
-    pub(super) left: u32,
+    /// Number of records that follow in the same sync.
+    pub(super) remaining: u32,
 }
 
-/// A record that was read.
+/// A decoded record.
 #[derive(Debug)]
 pub(super) struct ReadRecord {
     pub(super) entry: LogEntry,
@@ -31,7 +32,7 @@
     pub(super) size: usize,
 }
 
-/// Adds the record of `entry` to `bytes`.
+/// Appends the record of `entry` to `bytes`.
 pub(super) fn write_record(bytes: &mut Vec<u8>, entry: &LogEntry, mark: SyncMark) {
     let payload = encode_payload(&entry.payload);
     let start = bytes.len();
@@ -40,33 +41,37 @@
     bytes.extend_from_slice(&entry.index.0.to_le_bytes());
     bytes.extend_from_slice(&entry.term.0.to_le_bytes());
     bytes.extend_from_slice(&mark.number.to_le_bytes());
-    bytes.extend_from_slice(&mark.left.to_le_bytes());
+    bytes.extend_from_slice(&mark.remaining.to_le_bytes());
     bytes.extend_from_slice(&payload);
     let checksum = checksum(&bytes[start..]);
     bytes[start + 4..start + 8].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Reads the record at the start of `bytes`; `None` when there is no whole one.
+/// Reads the record at the start of `bytes`; `None` if it is incomplete or invalid.
 pub(super) fn read_record(bytes: &[u8]) -> Option<ReadRecord> {
-    let length = usize::try_from(number(bytes, 0, 4)?).ok()?;
-    let size = HEAD_BYTES.checked_add(length).filter(|_| length <= MAX_PAYLOAD)?;
+    let length = usize::try_from(read_uint(bytes, 0, 4)?).ok()?;
+    let size = HEADER_BYTES.checked_add(length).filter(|_| length <= MAX_PAYLOAD_BYTES)?;
     let record = bytes.get(..size)?;
-    if number(record, 4, 4)? != u64::from(checksum(record)) {
+    if read_uint(record, 4, 4)? != u64::from(checksum(record)) {
         return None;
     }
-    let payload = decode_payload(&record[HEAD_BYTES..])?;
+    let payload = decode_payload(&record[HEADER_BYTES..])?;
     let entry = LogEntry {
-        index: LogIndex(number(record, 8, 8)?),
-        term: TermNumber(number(record, 16, 8)?),
+        index: LogIndex(read_uint(record, 8, 8)?),
+        term: TermNumber(read_uint(record, 16, 8)?),
         payload,
     };
-    let left = u32::try_from(number(record, 32, 4)?).ok()?;
-    Some(ReadRecord { entry, mark: SyncMark { number: number(record, 24, 8)?, left }, size })
+    let remaining = u32::try_from(read_uint(record, 32, 4)?).ok()?;
+    Some(ReadRecord {
+        entry,
+        mark: SyncMark { number: read_uint(record, 24, 8)?, remaining },
+        size,
+    })
 }
 
-/// The index that a record at the start of `bytes` would have, without checking it.
+/// Reads the index field at the start of `bytes` without validating the record.
 pub(super) fn peek_index(bytes: &[u8]) -> Option<u64> {
-    number(bytes, 8, 8)
+    read_uint(bytes, 8, 8)
 }
 
 fn checksum(record: &[u8]) -> u32 {
@@ -76,7 +81,7 @@
     hasher.finalize()
 }
 
-fn number(bytes: &[u8], start: usize, width: usize) -> Option<u64> {
+fn read_uint(bytes: &[u8], start: usize, width: usize) -> Option<u64> {
     let mut buffer = [0; 8];
     buffer[..width].copy_from_slice(bytes.get(start..start + width)?);
     Some(u64::from_le_bytes(buffer))
@@ -92,7 +97,7 @@
         EntryPayload::Blank => vec![KIND_BLANK],
         EntryPayload::Admit(seat) => {
             let mut bytes = vec![KIND_ADMIT];
-            bytes.extend(codec::encode(seat).expect("a seat is plain data"));
+            bytes.extend(codec::encode(seat).expect("a seat can be encoded"));
             bytes
         }
         EntryPayload::Dismiss(node) => {
--- a/crates/control/src/storage/report.rs
+++ b/crates/control/src/storage/report.rs
@@ -1,4 +1,4 @@
-//! Looking at a data folder without changing it.
+//! Inspecting a data folder without modifying it.
 
 use std::path::Path;
 
@@ -11,21 +11,21 @@
 use crate::agreement::HardState;
 
 plain_value! {
-    /// What a data folder holds.
+    /// Summary of a data folder.
     pub struct FolderReport {
-        /// Whose folder it is.
+        /// Owner of the folder.
         pub identity: FolderIdentity,
-        /// Term, vote and commit.
+        /// Term, vote and commit index.
         pub hard: HardState,
-        /// Last entry that the snapshot covers.
+        /// Last entry included in the snapshot.
         pub snapshot: Option<LogIndex>,
         /// Size of the snapshot, in bytes.
         pub snapshot_bytes: usize,
-        /// First entry with a record.
+        /// First entry with a log record.
         pub first: Option<LogIndex>,
-        /// Last entry, the snapshot counted in.
+        /// Last entry, including the entries in the snapshot.
         pub last: LogIndex,
-        /// Bytes of a tail that a crash tore; the next start cuts it off.
+        /// Size of a tail torn by a crash, in bytes; the next start removes it.
         pub torn_bytes: u64,
     }
 }
@@ -33,7 +33,7 @@
 /// Reads the folder at `path`.
 ///
 /// # Errors
-/// A `StorageError` that names the damaged file, the place and the remedy.
+/// Returns a `StorageError` if there is no data folder, a file is damaged or a read fails.
 pub fn inspect(path: &Path) -> Result<FolderReport, StorageError> {
     let identity = read_identity(path)?;
     let Some(identity) = identity else { return MissingSnafu { path }.fail() };
@@ -46,7 +46,7 @@
         snapshot_bytes: contents.snapshot.as_ref().map_or(0, |snapshot| snapshot.data.len()),
         first,
         last: contents.last_index(),
-        torn_bytes: contents.scans.last().map_or(0, |scan| scan.torn),
+        torn_bytes: contents.scans.last().map_or(0, |scan| scan.torn_bytes),
         hard: contents.hard,
     })
 }
