--- a/crates/control/tests/agreement/cluster.rs
+++ b/crates/control/tests/agreement/cluster.rs
@@ -1,4 +1,5 @@
-//! Fixtures: a handful of cores stepped in one thread over a lossy wire, and a naive single copy.
+//! Test fixtures: several consensus cores driven in one thread over a simulated faulty network, and
+//! a reference copy of the state machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,29 +15,29 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time of one step.
+/// Simulated time of one step.
 pub const STEP: Duration = Duration::from_millis(10);
 
-/// What a disk holds, and what was handed to it without being synced yet.
+/// A simulated disk: synced contents, and batches that are not synced yet.
 #[derive(Default)]
 pub struct TestDisk {
     synced: RecoveredState,
     queued: Vec<(TimePoint, WriteBatch)>,
 }
 
-/// One control host.
+/// One simulated control host.
 pub struct TestHost {
     pub core: Option<AgreementCore>,
     pub state: ControlState,
     pub applied: LogIndex,
     folder: FolderId,
     disk: TestDisk,
-    /// Until when the process is paused; its clock goes on.
+    /// End of a pause of the process; the simulated clock goes on meanwhile.
     paused_until: TimePoint,
     inbox: Vec<PeerMessage>,
 }
 
-/// What became of one proposal or read.
+/// Outcome of a proposal or read.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TestEvent {
     Done(ProposalToken, CommandOutcome),
@@ -45,83 +46,83 @@
     ReadLost(ReadToken),
 }
 
-/// Faults per thousand messages, and the longest delay in steps.
+/// Lost and duplicated messages per thousand, and the longest delay in steps.
 #[derive(Debug, Clone, Copy)]
-pub struct WireFaults {
+pub struct NetworkFaults {
     pub lost: u32,
-    pub doubled: u32,
+    pub duplicated: u32,
     pub delay: u64,
 }
 
-/// A wire without faults.
-pub const QUIET: WireFaults = WireFaults { lost: 0, doubled: 0, delay: 1 };
+/// A network without faults.
+pub const NO_FAULTS: NetworkFaults = NetworkFaults { lost: 0, duplicated: 0, delay: 1 };
 
-/// Longer than anything may take on the cluster's own clock.
-pub const SOON: Duration = Duration::from_secs(60);
+/// Maximum simulated time to wait for an expected event.
+pub const TIME_LIMIT: Duration = Duration::from_secs(60);
 
-/// A cluster that has a leader.
-pub fn ready_cluster(size: usize, seed: u64, faults: WireFaults) -> TestCluster {
+/// Creates a cluster that has elected a leader.
+pub fn ready_cluster(size: usize, seed: u64, faults: NetworkFaults) -> TestCluster {
     let mut cluster = TestCluster::new(size, seed, faults);
-    cluster.run_until(SOON, "the first leader", |cluster| cluster.leader().is_some());
+    cluster.run_until(TIME_LIMIT, "the first leader", |cluster| cluster.leader().is_some());
     cluster.run_for(Duration::from_secs(2));
     cluster
 }
 
-/// A change of the rules that differs from any with another number.
+/// Creates a rule change whose document differs for each `number`.
 pub fn apply_rules(change: ChangeId, expect: RevisionNumber, number: u64) -> ControlCommand {
     let text = format!("services: []\nteams:\n  - name: team-{number}\nrules: []\n");
     ControlCommand::ApplyRules { change, expect: Some(expect), text }
 }
 
-/// A cluster in one thread.
+/// A simulated cluster that runs in one thread.
 pub struct TestCluster {
     pub now: TimePoint,
     pub hosts: Vec<TestHost>,
     pub events: Vec<(usize, TestEvent)>,
     pub random: ChaCha8Rng,
-    pub faults: WireFaults,
-    /// Pairs of hosts between which nothing arrives.
-    pub cut: Vec<(usize, usize)>,
-    wire: Vec<(TimePoint, usize, usize, PeerMessage)>,
-    /// The one true log, as the first host to apply an entry saw it.
+    pub faults: NetworkFaults,
+    /// Pairs of hosts that cannot exchange messages.
+    pub partitions: Vec<(usize, usize)>,
+    network: Vec<(TimePoint, usize, usize, PeerMessage)>,
+    /// The committed log, as applied by the first host to reach each entry.
     pub history: Vec<LogEntry>,
-    /// The naive copy: every command of the history, applied in order.
-    pub naive: ControlState,
+    /// The reference copy, to which every command of the history is applied in order.
+    pub reference: ControlState,
     leaders: Vec<(u64, usize)>,
     next_folder: u64,
     membership: MembershipMode,
-    /// Since when each host that has no process has none.
+    /// For each host, the time since which it has no process.
     down_since: Vec<Option<TimePoint>>,
 }
 
-/// Time without a process after which a voter counts as gone.
-const ABSENT: Duration = Duration::from_secs(3);
+/// Time without a process after which a voter is marked absent.
+const ABSENT_AFTER: Duration = Duration::from_secs(3);
 
 impl TestCluster {
-    pub fn new(size: usize, seed: u64, faults: WireFaults) -> Self {
+    pub fn new(size: usize, seed: u64, faults: NetworkFaults) -> Self {
         Self::with(size, seed, faults, MembershipMode::Fixed)
     }
 
-    /// A cluster whose first host founds the log alone; `voters` of the hosts get seats.
-    pub fn dynamic(size: usize, voters: usize, seed: u64, faults: WireFaults) -> Self {
+    /// Creates a cluster that the first host bootstraps alone; `voters` hosts get seats.
+    pub fn dynamic(size: usize, voters: usize, seed: u64, faults: NetworkFaults) -> Self {
         let mut cluster = Self::with(size, seed, faults, MembershipMode::Dynamic { voters });
         let now = cluster.now;
         let core = cluster.hosts[0].core.as_mut().expect("every host was started");
-        assert!(core.found_alone(now), "an empty folder can found the log");
+        assert!(core.found_alone(now), "an empty folder can be bootstrapped");
         cluster
     }
 
-    fn with(size: usize, seed: u64, faults: WireFaults, membership: MembershipMode) -> Self {
+    fn with(size: usize, seed: u64, faults: NetworkFaults, membership: MembershipMode) -> Self {
         let mut cluster = Self {
             now: TimePoint(1_000_000),
             hosts: Vec::new(),
             events: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             faults,
-            cut: Vec::new(),
-            wire: Vec::new(),
+            partitions: Vec::new(),
+            network: Vec::new(),
             history: Vec::new(),
-            naive: ControlState::default(),
+            reference: ControlState::default(),
             leaders: Vec::new(),
             next_folder: 1,
             membership,
@@ -154,7 +155,7 @@
         NodeName::new(&format!("control-{host}"))
     }
 
-    /// Starts the process of `host` from what its disk holds.
+    /// Starts the process of `host` from the synced contents of its disk.
     pub fn start(&mut self, host: usize) {
         let settings = AgreementSettings {
             node: Self::name(host),
@@ -171,7 +172,7 @@
             Some(AgreementCore::new(self.now, settings, self.hosts[host].disk.synced.clone()));
     }
 
-    /// Kills the process of `host`; of its unsynced batches a random number had reached the disk.
+    /// Kills the process of `host`; a random number of its unsynced batches reach the disk.
     pub fn kill(&mut self, host: usize) {
         let queued = std::mem::take(&mut self.hosts[host].disk.queued);
         let kept = self.random.random_range(0..=queued.len());
@@ -183,7 +184,7 @@
         self.down_since[host].get_or_insert(self.now);
     }
 
-    /// Kills `host` and empties its data folder.
+    /// Kills `host` and replaces its data folder by an empty one.
     pub fn wipe(&mut self, host: usize) {
         self.kill(host);
         let folder = self.new_folder();
@@ -215,26 +216,26 @@
     pub fn propose(&mut self, host: usize, token: ProposalToken, command: &ControlCommand) -> bool {
         let bytes = codec::encode(command).expect("a command has an encoding");
         let now = self.now;
-        let Some(core) = self.awake(host) else { return false };
+        let Some(core) = self.running_core(host) else { return false };
         core.propose(now, token, bytes).is_ok()
     }
 
     pub fn read(&mut self, host: usize, token: ReadToken) -> bool {
         let now = self.now;
-        self.awake(host).is_some_and(|core| core.read(now, token).is_ok())
+        self.running_core(host).is_some_and(|core| core.read(now, token).is_ok())
     }
 
-    fn awake(&mut self, host: usize) -> Option<&mut AgreementCore> {
+    fn running_core(&mut self, host: usize) -> Option<&mut AgreementCore> {
         let now = self.now;
         let host = &mut self.hosts[host];
         host.core.as_mut().filter(|_| host.paused_until <= now)
     }
 
-    /// Steps until `done` holds; panics when it does not in `limit`.
+    /// Steps until `done` returns `true`; panics after `limit`.
     pub fn run_until(&mut self, limit: Duration, what: &str, done: impl Fn(&Self) -> bool) {
         let end = self.now.after(limit);
         while !done(self) {
-            assert!(self.now < end, "not in time: {what}");
+            assert!(self.now < end, "timed out waiting for {what}");
             self.step();
         }
     }
@@ -246,27 +247,28 @@
         }
     }
 
-    /// One step of time for every host.
+    /// Advances all hosts by one step of time.
     pub fn step(&mut self) {
         self.now = self.now.after(STEP);
-        self.carry();
+        self.deliver_messages();
         for host in 0..self.hosts.len() {
             self.step_host(host);
         }
     }
 
-    fn carry(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.now;
         let mut due: Vec<(usize, usize, PeerMessage)> = Vec::new();
-        self.wire.retain(|(at, from, to, message)| {
+        self.network.retain(|(at, from, to, message)| {
             if *at <= now {
                 due.push((*from, *to, message.clone()));
             }
             *at > now
         });
         for (from, to, message) in due {
-            let cut = self.cut.contains(&(from, to)) || self.cut.contains(&(to, from));
-            if !cut && self.hosts[to].core.is_some() {
+            let is_cut =
+                self.partitions.contains(&(from, to)) || self.partitions.contains(&(to, from));
+            if !is_cut && self.hosts[to].core.is_some() {
                 self.hosts[to].inbox.push(message);
             }
         }
@@ -279,7 +281,7 @@
         }
         let inbox = std::mem::take(&mut self.hosts[host].inbox);
         let synced = self.finish_writes(host);
-        self.manage_voters(host);
+        self.update_membership(host);
         let Some(core) = &mut self.hosts[host].core else { return };
         for message in inbox {
             core.receive(now, message);
@@ -293,11 +295,12 @@
             let output = core.drain(now);
             self.take_output(host, output);
         }
-        self.note_leader(host);
+        self.check_single_leader(host);
     }
 
-    /// What the process around a core does with dynamic membership.
-    fn manage_voters(&mut self, host: usize) {
+    /// Does the surrounding process's part of dynamic membership: sets peers and marks absent
+    /// voters.
+    fn update_membership(&mut self, host: usize) {
         if self.membership == MembershipMode::Fixed {
             return;
         }
@@ -306,7 +309,7 @@
         let absent: Vec<bool> = self
             .down_since
             .iter()
-            .map(|since| since.is_some_and(|since| now.since(since) > ABSENT))
+            .map(|since| since.is_some_and(|since| now.since(since) > ABSENT_AFTER))
             .collect();
         let Some(core) = &mut self.hosts[host].core else { return };
         core.set_peers(now, &names);
@@ -318,7 +321,7 @@
         }
     }
 
-    /// Names of the voters as the leader knows them.
+    /// Names of the voters, as known to the leader.
     pub fn voters(&self) -> Vec<NodeName> {
         let leader = self.leader().and_then(|host| self.hosts[host].core.as_ref());
         leader.map_or_else(Vec::new, |core| {
@@ -345,7 +348,7 @@
             self.hosts[host].disk.queued.push((at, batch));
         }
         for (to, message) in output.messages {
-            self.post(host, &to, message);
+            self.enqueue_message(host, &to, message);
         }
         for token in output.lost {
             self.events.push((host, TestEvent::Lost(token)));
@@ -364,31 +367,31 @@
         self.snapshot(host);
     }
 
-    fn post(&mut self, from: usize, to: &NodeName, message: PeerMessage) {
+    fn enqueue_message(&mut self, from: usize, to: &NodeName, message: PeerMessage) {
         let to = (0..self.hosts.len()).find(|host| Self::name(*host) == *to);
         let to = to.expect("messages go to members");
-        // Through the codec, as on a real wire.
+        // Encode and decode the message as on a real connection.
         let bytes = codec::encode(&message).expect("a message has an encoding");
         let message: PeerMessage = codec::decode(&bytes).expect("a message decodes");
         if self.random.random_range(0..1000) < self.faults.lost {
             return;
         }
-        let copies = if self.random.random_range(0..1000) < self.faults.doubled { 2 } else { 1 };
+        let copies = if self.random.random_range(0..1000) < self.faults.duplicated { 2 } else { 1 };
         for _ in 0..copies {
             let steps = self.random.random_range(0..=self.faults.delay);
             let at = self.now.after(STEP * u32::try_from(steps).unwrap_or(0));
-            self.wire.push((at, from, to, message.clone()));
+            self.network.push((at, from, to, message.clone()));
         }
     }
 
-    /// Applies a committed entry and holds it against the history.
+    /// Applies a committed entry and compares it with the history.
     fn apply(&mut self, host: usize, delivery: LogDelivery) {
         match delivery {
             LogDelivery::Restore(snapshot) => {
                 let index = snapshot.meta.index;
                 assert!(
                     index.0 <= self.history.len() as u64,
-                    "a snapshot of what is not committed"
+                    "a snapshot contains uncommitted entries"
                 );
                 let state = ControlState::decode(&snapshot.data).expect("a snapshot decodes");
                 self.hosts[host].state = state;
@@ -397,14 +400,17 @@
             LogDelivery::Entry(committed) => {
                 let entry = committed.entry;
                 let next = self.hosts[host].applied.next();
-                assert_eq!(entry.index, next, "host {host} skips entries");
+                assert_eq!(entry.index, next, "host {host} skipped entries");
                 self.hosts[host].applied = next;
                 let position = usize::try_from(next.0 - 1).expect("a test's log is short");
                 let outcome = apply_to(&mut self.hosts[host].state, &entry);
                 if position == self.history.len() {
-                    apply_to(&mut self.naive, &entry);
+                    apply_to(&mut self.reference, &entry);
                     self.history.push(entry);
-                    assert_eq!(self.hosts[host].state, self.naive, "the copies differ");
+                    assert_eq!(
+                        self.hosts[host].state, self.reference,
+                        "the state differs from the reference copy"
+                    );
                 } else {
                     assert_eq!(self.history[position], entry, "committed entry {next} changed");
                 }
@@ -415,7 +421,7 @@
         }
     }
 
-    /// Compacts now and then, so that late hosts need a snapshot.
+    /// Compacts the log at random times, so that lagging hosts need a snapshot.
     fn snapshot(&mut self, host: usize) {
         if self.random.random_range(0..200) > 0 {
             return;
@@ -426,7 +432,7 @@
         }
     }
 
-    fn note_leader(&mut self, host: usize) {
+    fn check_single_leader(&mut self, host: usize) {
         let Some(core) = &self.hosts[host].core else { return };
         if core.role() != MemberRole::Leader {
             return;
@@ -446,7 +452,7 @@
     Some(state.apply(&command))
 }
 
-/// A disk that does what it is told, in memory.
+/// Applies a batch to the contents of a simulated disk.
 fn write(synced: &mut RecoveredState, batch: WriteBatch) {
     for change in batch.writes {
         match change {
--- a/crates/control/tests/agreement/main.rs
+++ b/crates/control/tests/agreement/main.rs
@@ -1,4 +1,4 @@
-//! The replicated core against a naive single copy.
+//! Consensus tests: simulated clusters are checked against a reference copy of the state machine.
 
 mod cluster;
 mod faults;
--- a/crates/control/tests/agreement/membership.rs
+++ b/crates/control/tests/agreement/membership.rs
@@ -1,4 +1,4 @@
-//! Voters that come and go while the log is in use. `BRIARTRAY_SEEDS=5000` asks for a longer run.
+//! Tests of dynamic membership. Set `BRIARTRAY_SEEDS=5000` for a longer run.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 use briartray_model::names::{ChangeId, RevisionNumber};
 use rand::RngExt;
 
-use crate::cluster::{QUIET, SOON, TestCluster, TestEvent, WireFaults, apply_rules};
+use crate::cluster::{NO_FAULTS, NetworkFaults, TIME_LIMIT, TestCluster, TestEvent, apply_rules};
 
-/// Seeds of every run of CI.
-const SEEDS: u64 = 16;
+/// Number of seeds without the environment variable, as in CI.
+const DEFAULT_SEEDS: u64 = 16;
 
-/// Environment variable that asks for more seeds.
-const MORE_SEEDS: &str = "BRIARTRAY_SEEDS";
+/// Environment variable that sets the number of seeds.
+const SEEDS_VARIABLE: &str = "BRIARTRAY_SEEDS";
 
-const ROUGH: WireFaults = WireFaults { lost: 40, doubled: 40, delay: 5 };
+const FAULTY_NETWORK: NetworkFaults = NetworkFaults { lost: 40, duplicated: 40, delay: 5 };
 
-/// Hosts that could vote.
+/// Number of hosts.
 const HOSTS: usize = 5;
 
-/// Hosts that do.
+/// Target number of voters.
 const VOTERS: usize = 3;
 
-fn grown_cluster(seed: u64, faults: WireFaults) -> TestCluster {
+fn full_cluster(seed: u64, faults: NetworkFaults) -> TestCluster {
     let mut cluster = TestCluster::dynamic(HOSTS, VOTERS, seed, faults);
-    cluster.run_until(SOON, "three voters", |cluster| voters_know(cluster, VOTERS));
+    cluster.run_until(TIME_LIMIT, "three voters", |cluster| voters_know(cluster, VOTERS));
     cluster
 }
 
-/// Whether there are `count` voters, and each of them knows it and has its seat: one whose disk was
-/// emptied counts as lost until then.
+/// Whether there are `count` voters that all know this and hold their seats. A voter with a wiped
+/// disk does not count until it has regained its seat.
 fn voters_know(cluster: &TestCluster, count: usize) -> bool {
     let voters = cluster.voters();
     let knows = |host: usize| {
@@ -41,9 +41,9 @@
     voters.len() == count && (0..HOSTS).filter(named).all(knows)
 }
 
-/// Sends changes to whoever leads until one is committed.
+/// Proposes a change to the current leader until one is committed.
 fn commit(cluster: &mut TestCluster, number: u64) {
-    let end = cluster.now.after(SOON);
+    let end = cluster.now.after(TIME_LIMIT);
     let mut tries = 0;
     loop {
         assert!(cluster.now < end, "change {number} is not committed in time");
@@ -72,25 +72,25 @@
     }
 }
 
-/// One host with an empty disk begins, the others are told of it and are added one by one. An
-/// operator's first change is kept by three hosts, of which any one may go.
+/// One host bootstraps the log with an empty disk, and the others are added one by one. Afterwards
+/// committed changes must survive the loss of any one host.
 #[test]
-fn one_founder_grows_to_the_wanted_voters() {
-    let mut cluster = grown_cluster(1, QUIET);
+fn bootstrapped_log_grows_to_target_voters() {
+    let mut cluster = full_cluster(1, NO_FAULTS);
 
     commit(&mut cluster, 1);
     let leader = cluster.leader().expect("a leader was just there");
     cluster.kill(leader);
     commit(&mut cluster, 2);
 
-    assert!(cluster.naive.rules.current().revision >= RevisionNumber(2));
+    assert!(cluster.reference.rules.current().revision >= RevisionNumber(2));
 }
 
-/// A control host burns down. Another one with a disk stands by and is given its vote; afterwards
-/// a second loss, which the first one alone would have made fatal, is borne as well.
+/// A voter is lost for good, and another host takes over its vote. The cluster must then survive a
+/// second loss, which would be fatal without the replacement.
 #[test]
-fn a_voter_that_stays_away_is_replaced() {
-    let mut cluster = grown_cluster(2, QUIET);
+fn absent_voter_is_replaced() {
+    let mut cluster = full_cluster(2, NO_FAULTS);
     let voters = cluster.voters();
     let leader = cluster.leader().expect("a grown cluster has a leader");
     let lost = (0..HOSTS)
@@ -98,7 +98,7 @@
         .expect("two voters follow");
 
     cluster.kill(lost);
-    cluster.run_until(SOON, "another voter in its place", |cluster| {
+    cluster.run_until(TIME_LIMIT, "another voter in its place", |cluster| {
         voters_know(cluster, VOTERS) && !cluster.voters().contains(&TestCluster::name(lost))
     });
     let leader = cluster.leader().expect("the leader stays");
@@ -107,11 +107,11 @@
     commit(&mut cluster, 3);
 }
 
-/// A voter's disk is emptied while its process is down, and it comes back under its old name. It
-/// must not vote as the host it was; it gets its seat again once it has caught up.
+/// A voter's disk is wiped while its process is down, and it returns under its old name. It must
+/// not vote until it has caught up and regained its seat.
 #[test]
-fn a_wiped_voter_is_seated_again() {
-    let mut cluster = grown_cluster(3, QUIET);
+fn wiped_voter_regains_its_seat() {
+    let mut cluster = full_cluster(3, NO_FAULTS);
     commit(&mut cluster, 1);
     let leader = cluster.leader().expect("a grown cluster has a leader");
     let voters = cluster.voters();
@@ -123,18 +123,18 @@
     cluster.start(wiped);
 
     assert!(!cluster.is_seated(wiped), "an empty folder has no vote");
-    cluster.run_until(SOON, "its seat", |cluster| cluster.is_seated(wiped));
+    cluster.run_until(TIME_LIMIT, "its seat", |cluster| cluster.is_seated(wiped));
     commit(&mut cluster, 2);
 }
 
-/// Every process ends at once, as when the power fails, after the founder was replaced. The hosts
-/// that are left know from their own disks who votes, and go on with all that was accepted.
+/// All processes stop at once after the bootstrapping host was replaced. The remaining hosts must
+/// know the voters from their own disks and keep all accepted changes.
 #[test]
-fn voters_survive_a_stop_of_everyone() {
-    let mut cluster = grown_cluster(4, QUIET);
+fn voters_are_kept_after_restart_of_all_hosts() {
+    let mut cluster = full_cluster(4, NO_FAULTS);
     commit(&mut cluster, 1);
     cluster.kill(0);
-    cluster.run_until(SOON, "a voter in the founder's place", |cluster| {
+    cluster.run_until(TIME_LIMIT, "a voter in the founder's place", |cluster| {
         voters_know(cluster, VOTERS) && !cluster.voters().contains(&TestCluster::name(0))
     });
     commit(&mut cluster, 2);
@@ -147,28 +147,28 @@
     }
 
     commit(&mut cluster, 3);
-    assert!(cluster.naive.rules.current().revision >= RevisionNumber(3));
+    assert!(cluster.reference.rules.current().revision >= RevisionNumber(3));
 }
 
-/// Hosts are killed, wiped, paused and cut off at random while messages get lost and doubled, and
-/// voters are replaced all the while. No committed change may differ between hosts or go away, and
-/// no two hosts may lead in one term; the cluster checks both at every step.
+/// Hosts are killed, wiped, paused and partitioned at random while messages are lost and duplicated
+/// and voters are replaced. Committed changes must not differ between hosts or disappear, and no
+/// two hosts may lead in one term; the simulated cluster checks both at every step.
 #[test]
-fn seeded_losses_keep_one_history() {
-    let more = std::env::var(MORE_SEEDS).ok().and_then(|text| text.parse().ok());
-    for seed in 0..more.unwrap_or(SEEDS) {
+fn committed_history_is_consistent_under_random_faults() {
+    let more = std::env::var(SEEDS_VARIABLE).ok().and_then(|text| text.parse().ok());
+    for seed in 0..more.unwrap_or(DEFAULT_SEEDS) {
         run_seed(seed);
     }
 }
 
 fn run_seed(seed: u64) {
-    let mut cluster = grown_cluster(1_000 + seed, ROUGH);
+    let mut cluster = full_cluster(1_000 + seed, FAULTY_NETWORK);
     for round in 1..12 {
         commit(&mut cluster, round);
         let host = cluster.random.random_range(0..HOSTS);
         let down = (0..HOSTS).find(|host| cluster.hosts[*host].core.is_none());
         match cluster.random.random_range(0..5) {
-            // One loss at a time is what three voters bear.
+            // Three voters tolerate one failure at a time.
             _ if down.is_some() => cluster.start(down.unwrap_or(0)),
             0 => cluster.kill(host),
             1 => {
@@ -176,8 +176,11 @@
                 let wait = Duration::from_millis(cluster.random.random_range(0..6_000));
                 cluster.run_for(wait);
                 cluster.start(host);
-                // Its disk is back only when it has caught up: no other one may go before.
-                cluster.run_until(SOON, "the wiped host", |cluster| voters_know(cluster, VOTERS));
+                // The wiped host counts as failed until it has caught up, so wait before the next
+                // fault.
+                cluster.run_until(TIME_LIMIT, "the wiped host", |cluster| {
+                    voters_know(cluster, VOTERS)
+                });
             }
             2 => {
                 let time = Duration::from_millis(cluster.random.random_range(100..4_000));
@@ -185,10 +188,10 @@
             }
             3 => {
                 let others: Vec<usize> = (0..HOSTS).filter(|other| *other != host).collect();
-                cluster.cut = others.iter().map(|other| (host, *other)).collect();
+                cluster.partitions = others.iter().map(|other| (host, *other)).collect();
                 let time = Duration::from_millis(cluster.random.random_range(100..4_000));
                 cluster.run_for(time);
-                cluster.cut.clear();
+                cluster.partitions.clear();
             }
             _ => {
                 for host in 0..HOSTS {
@@ -204,13 +207,12 @@
     }
 }
 
-/// All hosts lose power and start again. They ask for votes while their links are not open yet, and
-/// nobody hears it. They asked again only after the usual time without a leader, and callers waited
-/// for a second more.
+/// All hosts restart at once. Their first vote requests are lost because connections are not open
+/// yet. If they then waited for a full election timeout, callers would wait a second longer.
 #[test]
-fn a_leader_is_found_soon_after_the_links_are_open() {
-    for seed in 0..SEEDS {
-        let mut cluster = grown_cluster(900 + seed, QUIET);
+fn leader_is_elected_soon_after_network_recovers() {
+    for seed in 0..DEFAULT_SEEDS {
+        let mut cluster = full_cluster(900 + seed, NO_FAULTS);
         cluster.run_for(Duration::from_secs(1));
         let voters: Vec<usize> = (0..HOSTS)
             .filter(|host| cluster.voters().contains(&TestCluster::name(*host)))
@@ -218,30 +220,30 @@
         for host in 0..HOSTS {
             cluster.kill(host);
         }
-        cluster.cut.push((voters[0], voters[1]));
+        cluster.partitions.push((voters[0], voters[1]));
         cluster.start(voters[0]);
         cluster.start(voters[1]);
-        // Both have asked by now, in vain.
+        // Both hosts have sent a request by now, and it was lost.
         cluster.run_for(Duration::from_millis(700));
 
         let open = cluster.now;
-        cluster.cut.clear();
-        cluster.run_until(SOON, "a leader", |cluster| cluster.leader().is_some());
+        cluster.partitions.clear();
+        cluster.run_until(TIME_LIMIT, "a leader", |cluster| cluster.leader().is_some());
 
-        // Each wait is an eighth of 900 to 1,800 ms; then a vote is held.
+        // Each wait is an eighth of 900 to 1,800 ms; then an election takes place.
         let took = cluster.now.since(open);
         assert!(took < Duration::from_millis(800), "seed {seed}: {took:?}");
     }
 }
 
-/// All machines lose power and have it again one after the other. Those that start first ask for votes in vain.
-/// They waited for most of a usual time without a leader before they asked again, while a majority was up, and
-/// all that time callers were refused or answered late.
+/// All hosts lose power and restart one after the other. The first ones request votes in vain. If
+/// they then waited for a full election timeout while a majority is up, callers would be rejected
+/// or answered late during that time.
 #[test]
-fn a_leader_is_found_soon_after_a_majority_is_up() {
+fn leader_is_elected_soon_after_majority_starts() {
     let usual = AgreementTimes::default().election;
-    for seed in 0..SEEDS {
-        let mut cluster = grown_cluster(700 + seed, QUIET);
+    for seed in 0..DEFAULT_SEEDS {
+        let mut cluster = full_cluster(700 + seed, NO_FAULTS);
         cluster.run_for(Duration::from_secs(1));
         let (voters, rest): (Vec<usize>, Vec<usize>) =
             (0..HOSTS).partition(|host| cluster.voters().contains(&TestCluster::name(*host)));
@@ -255,7 +257,7 @@
 
         cluster.start(voters[1]);
         let majority = cluster.now;
-        cluster.run_until(SOON, "a leader", |cluster| cluster.leader().is_some());
+        cluster.run_until(TIME_LIMIT, "a leader", |cluster| cluster.leader().is_some());
 
         let took = cluster.now.since(majority);
         assert!(took < usual / 2, "seed {seed}: {took:?}");
--- a/crates/control/tests/agreement/seeded.rs
+++ b/crates/control/tests/agreement/seeded.rs
@@ -1,4 +1,4 @@
-//! Seeded faults of every kind at once. `BRIARTRAY_SEEDS=5000` asks for a longer run.
+//! Randomized runs with all kinds of faults. Set `BRIARTRAY_SEEDS=5000` for a longer run.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 use rand::RngExt;
 
 use crate::cluster::{
-    QUIET, SOON, STEP, TestCluster, TestEvent, WireFaults, apply_rules, ready_cluster,
+    NO_FAULTS, NetworkFaults, STEP, TIME_LIMIT, TestCluster, TestEvent, apply_rules, ready_cluster,
 };
 
-/// Seeds of every run of CI.
-const SEEDS: u64 = 24;
+/// Number of seeds without the environment variable, as in CI.
+const DEFAULT_SEEDS: u64 = 24;
 
-/// Environment variable that asks for more seeds.
-const MORE_SEEDS: &str = "BRIARTRAY_SEEDS";
+/// Environment variable that sets the number of seeds.
+const SEEDS_VARIABLE: &str = "BRIARTRAY_SEEDS";
 
-/// Steps with faults in one seeded run.
+/// Number of steps with faults per run.
 const STEPS: usize = 3_000;
 
-const ROUGH: WireFaults = WireFaults { lost: 60, doubled: 60, delay: 6 };
+const FAULTY_NETWORK: NetworkFaults = NetworkFaults { lost: 60, duplicated: 60, delay: 6 };
 
-/// A change that was sent, with what its sender knows.
+/// A change that was sent, with its expected and first known outcome.
 struct SentChange {
     token: ProposalToken,
     change: ChangeId,
@@ -30,13 +30,13 @@
     first: Option<CommandOutcome>,
 }
 
-/// A read, with how much was committed for certain when it was asked.
+/// A read, with the number of entries committed when it was requested.
 struct SentRead {
     token: ReadToken,
     floor: LogIndex,
 }
 
-/// Operators that race, resend and read while hosts fail.
+/// Simulated operators that send, resend and read concurrently while hosts fail.
 struct Operators {
     changes: Vec<SentChange>,
     reads: Vec<SentRead>,
@@ -58,7 +58,8 @@
 
     fn send(&mut self, cluster: &mut TestCluster, host: usize) {
         let (token, change) = (ProposalToken(self.next), ChangeId(u128::from(self.next)));
-        // What one host knows may be old: that is how equal numbers race.
+        // The revision may be outdated on this host, which makes changes race for the same
+        // revision.
         let expect = cluster.hosts[host].state.rules.current().revision;
         if cluster.propose(host, token, &apply_rules(change, expect, self.next)) {
             self.changes.push(SentChange { token, change, expect, first: None });
@@ -71,7 +72,7 @@
         }
         let picked = cluster.random.random_range(0..self.changes.len());
         let known = &self.changes[picked];
-        let number = u64::try_from(known.change.0).expect("small in tests");
+        let number = u64::try_from(known.change.0).expect("change numbers are small in tests");
         let (token, change, expect) = (ProposalToken(self.next), known.change, known.expect);
         let first = known.first.clone();
         if cluster.propose(host, token, &apply_rules(change, expect, number)) {
@@ -87,17 +88,18 @@
         }
     }
 
-    /// Holds what hosts answered against what was said before.
+    /// Compares new replies with earlier ones.
     fn check(&mut self, cluster: &mut TestCluster) {
         for (_, event) in std::mem::take(&mut cluster.events) {
             match event {
                 TestEvent::Done(token, outcome) => self.check_outcome(token, &outcome),
                 TestEvent::Read { token, applied, state } => {
                     let read = self.reads.iter().find(|read| read.token == token);
-                    let floor = read.expect("a read that was asked").floor;
+                    let floor = read.expect("the read was requested").floor;
                     assert!(applied >= floor, "a read at {applied} is older than {floor}");
                     assert!(
-                        state.rules.current().revision <= cluster.naive.rules.current().revision
+                        state.rules.current().revision
+                            <= cluster.reference.rules.current().revision
                     );
                 }
                 TestEvent::Lost(_) | TestEvent::ReadLost(_) => {}
@@ -107,7 +109,8 @@
 
     fn check_outcome(&mut self, token: ProposalToken, outcome: &CommandOutcome) {
         let sent = self.changes.iter().find(|sent| sent.token == token);
-        let (change, expect) = sent.map(|sent| (sent.change, sent.expect)).expect("a sent change");
+        let (change, expect) =
+            sent.map(|sent| (sent.change, sent.expect)).expect("the change was sent");
         for other in self.changes.iter_mut().filter(|other| other.change == change) {
             let first = other.first.get_or_insert_with(|| outcome.clone());
             assert_eq!(first, outcome, "a resend of {change} got another outcome");
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Each revision was given to one change only.
+    /// Checks that each revision was assigned to only one change.
     fn check_revisions(&self) {
         let mut given: Vec<(RevisionNumber, ChangeId)> = self
             .changes
@@ -129,21 +132,24 @@
             .collect();
         given.sort();
         given.dedup();
-        assert!(given.windows(2).all(|pair| pair[0].0 != pair[1].0), "two changes won one race");
+        assert!(
+            given.windows(2).all(|pair| pair[0].0 != pair[1].0),
+            "two changes were assigned the same revision"
+        );
     }
 }
 
-/// Brings faults about, never more wipes at a time than the cluster can bear.
-fn trouble(cluster: &mut TestCluster) {
+/// Injects a random fault; wipes a host only while all hosts hold their seats.
+fn inject_fault(cluster: &mut TestCluster) {
     let size = cluster.hosts.len();
     let host = cluster.random.random_range(0..size);
     match cluster.random.random_range(0..100) {
         0..4 => {
             let other = cluster.random.random_range(0..size);
-            cluster.cut.push((host, other));
+            cluster.partitions.push((host, other));
         }
-        4 => cluster.cut = (0..size).map(|other| (host, other)).collect(),
-        5..12 => cluster.cut.clear(),
+        4 => cluster.partitions = (0..size).map(|other| (host, other)).collect(),
+        5..12 => cluster.partitions.clear(),
         12..15 => {
             let time = STEP * cluster.random.random_range(1..400);
             cluster.pause(host, time);
@@ -158,9 +164,9 @@
     }
 }
 
-fn heal(cluster: &mut TestCluster) {
-    cluster.cut.clear();
-    cluster.faults = QUIET;
+fn clear_faults(cluster: &mut TestCluster) {
+    cluster.partitions.clear();
+    cluster.faults = NO_FAULTS;
     for host in 0..cluster.hosts.len() {
         if cluster.hosts[host].core.is_none() {
             cluster.start(host);
@@ -168,44 +174,49 @@
     }
 }
 
-/// One seeded run: faults, then calm, in which every host must agree.
+/// Runs one seed with faults and then without, after which all hosts must agree.
 ///
-/// Returns how many changes were accepted in all.
+/// Returns the number of accepted changes.
 fn run_seed(size: usize, seed: u64) -> u64 {
-    let mut cluster = ready_cluster(size, seed, ROUGH);
+    let mut cluster = ready_cluster(size, seed, FAULTY_NETWORK);
     let mut operators = Operators { changes: Vec::new(), reads: Vec::new(), next: 0 };
     for _ in 0..STEPS {
         if cluster.random.random_range(0..4) == 0 {
             operators.act(&mut cluster);
         }
         if cluster.random.random_range(0..8) == 0 {
-            trouble(&mut cluster);
+            inject_fault(&mut cluster);
         }
         cluster.step();
         operators.check(&mut cluster);
     }
-    heal(&mut cluster);
-    cluster.run_until(SOON, "a leader after the faults", |cluster| cluster.leader().is_some());
+    clear_faults(&mut cluster);
+    cluster
+        .run_until(TIME_LIMIT, "a leader after the faults", |cluster| cluster.leader().is_some());
     cluster.run_for(Duration::from_secs(20));
     operators.check(&mut cluster);
-    let accepted = cluster.naive.rules.current().revision;
-    let leader = cluster.leader().expect("a leader in calm");
+    let accepted = cluster.reference.rules.current().revision;
+    let leader = cluster.leader().expect("a leader after the faults");
     operators.next += 1;
     operators.send(&mut cluster, leader);
     cluster.run_for(Duration::from_secs(2));
     operators.check(&mut cluster);
     operators.check_revisions();
     let end = LogIndex(cluster.history.len() as u64);
-    assert_eq!(cluster.naive.rules.current().revision, accepted.next(), "no change in calm");
+    assert_eq!(
+        cluster.reference.rules.current().revision,
+        accepted.next(),
+        "the change after the faults was not accepted"
+    );
     for (number, host) in cluster.hosts.iter().enumerate() {
         assert_eq!(host.applied, end, "host {number} did not catch up");
-        assert_eq!(host.state, cluster.naive, "host {number} differs from the naive copy");
-        assert!(cluster.is_seated(number), "host {number} got no seat back");
+        assert_eq!(host.state, cluster.reference, "host {number} differs from the reference copy");
+        assert!(cluster.is_seated(number), "host {number} did not regain its seat");
     }
-    cluster.naive.rules.current().revision.0
+    cluster.reference.rules.current().revision.0
 }
 
-/// Runs every seed from `first` on.
+/// Runs all seeds from `first` on.
 fn run_seeds(size: usize, first: u64) {
     let mut accepted = 0;
     let seeds = seeds();
@@ -213,25 +224,25 @@
         println!("seed {}", first + seed);
         accepted += run_seed(size, first + seed);
     }
-    // Faults that let nothing through would prove nothing.
+    // Runs in which hardly any change is accepted would prove nothing.
     assert!(accepted > 20 * seeds.end, "{accepted} changes in {} runs are too few", seeds.end);
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let more = std::env::var(MORE_SEEDS).ok().and_then(|text| text.parse().ok());
-    0..more.unwrap_or(SEEDS)
+    let more = std::env::var(SEEDS_VARIABLE).ok().and_then(|text| text.parse().ok());
+    0..more.unwrap_or(DEFAULT_SEEDS)
 }
 
 #[test]
-fn three_hosts_agree_with_naive_copy() {
-    // Messages are lost, doubled and reordered, hosts pause, restart, are cut off or lose their
-    // folder while operators race. They would see a change revert, two winners of one race, or
-    // rules that were replaced long ago.
+fn three_hosts_match_reference_copy() {
+    // Messages are lost, duplicated and reordered; hosts pause, restart, are partitioned or wiped
+    // while operators race. Guards against reverted changes, two changes accepted for one revision,
+    // and stale reads.
     run_seeds(3, 0);
 }
 
 #[test]
-fn five_hosts_agree_with_naive_copy() {
-    // As with three hosts, but two may fail at a time.
+fn five_hosts_match_reference_copy() {
+    // The same with five hosts, of which two may fail at a time.
     run_seeds(5, 1_000_000);
 }
--- a/crates/control/tests/agreement/steps.rs
+++ b/crates/control/tests/agreement/steps.rs
@@ -1,24 +1,24 @@
-//! Single steps of one core, told by hand what the others say.
+//! Tests that drive a single core with hand-written messages.
 
 use briartray_control::agreement::{
     AgreementCore, AgreementSettings, AgreementTimes, AppendReply, CoreOutput, EntryPayload,
-    FolderId, HardState, LogEntry, MemberRole, MemberSeat, MembershipMode, PeerBody, PeerMessage,
-    ProposalToken, RecoveredState, VoteCall,
+    FolderId, HardState, LogEntry, MemberRole, MembershipMode, PeerBody, PeerMessage,
+    ProposalToken, RecoveredState, VoteCall, VoterSeat,
 };
 use briartray_model::TimePoint;
 use briartray_model::names::{LogIndex, NodeName, TermNumber};
 
-use crate::cluster::{SOON, TestCluster};
+use crate::cluster::{TIME_LIMIT, TestCluster};
 
 const START: TimePoint = TimePoint(1_000_000);
 
-fn seats() -> Vec<MemberSeat> {
+fn seats() -> Vec<VoterSeat> {
     (0..3)
-        .map(|host| MemberSeat { node: TestCluster::name(host), folder: FolderId(host as u64) })
+        .map(|host| VoterSeat { node: TestCluster::name(host), folder: FolderId(host as u64) })
         .collect()
 }
 
-/// Host 0 of three, with `entries` of term 1 in its log.
+/// Creates host 0 of three, with `entries` entries of term 1 in its log.
 fn core_with(entries: u64) -> AgreementCore {
     let settings = AgreementSettings {
         node: TestCluster::name(0),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Drains and takes every write as synced.
+/// Drains the core and marks all writes as synced.
 fn drain_synced(core: &mut AgreementCore, now: TimePoint) -> CoreOutput {
     let output = core.drain(now);
     if let Some(batch) = &output.batch {
@@ -60,7 +60,7 @@
 
 /// Makes `core` the leader of term 2 with the vote of host 1.
 fn elect(core: &mut AgreementCore) -> TimePoint {
-    let now = START.after(SOON);
+    let now = START.after(TIME_LIMIT);
     core.tick(now);
     drain_synced(core, now);
     core.receive(now, message(1, 2, PeerBody::PreVoteReply { granted: true }));
@@ -70,15 +70,15 @@
     now
 }
 
-fn says(output: &CoreOutput, to: &NodeName, body: &PeerBody) -> bool {
+fn has_message(output: &CoreOutput, to: &NodeName, body: &PeerBody) -> bool {
     output.messages.iter().any(|(receiver, sent)| receiver == to && sent.body == *body)
 }
 
 #[test]
 fn entry_of_earlier_term_is_not_committed_by_count_alone() {
-    // A majority holds an entry of an earlier leader, and the present leader counts it as
-    // committed. Another host may still be elected without that entry and replace it: operators
-    // would see an accepted change vanish.
+    // A majority holds an entry of an earlier term. If the leader committed it by counting replicas
+    // alone, a host without the entry could still be elected and overwrite it, and an accepted
+    // change would be lost.
     let mut core = core_with(3);
     let now = elect(&mut core);
     let old = AppendReply { prev_index: LogIndex(3), matched: true, index: LogIndex(3), round: 1 };
@@ -95,8 +95,8 @@
 
 #[test]
 fn vote_is_given_only_once_it_is_synced() {
-    // A host votes and loses power before the vote is on its disk. It would vote again in the
-    // same term, for somebody else, and two leaders could be elected.
+    // If a vote were sent before it is synced, a host that loses power could vote twice in the same
+    // term, and two leaders could be elected.
     let mut core = core_with(0);
     let candidate = TestCluster::name(1);
     let granted = PeerBody::VoteReply { granted: true };
@@ -108,17 +108,17 @@
     core.stored(START, ticket);
     let synced = core.drain(START);
 
-    assert!(!says(&unsynced, &candidate, &granted), "the vote left before it was synced");
-    assert!(says(&synced, &candidate, &granted));
+    assert!(!has_message(&unsynced, &candidate, &granted), "the vote left before it was synced");
+    assert!(has_message(&synced, &candidate, &granted));
 }
 
 #[test]
-fn leader_commits_nothing_that_its_own_disk_lacks() {
-    // The leader's own disk is slow while both others have synced. Nothing is answered yet: the
-    // promise is a majority with the own disk included.
+fn leader_commits_only_entries_synced_on_its_own_disk() {
+    // Both followers have synced an entry but the leader's own disk has not. The entry must not be
+    // committed yet, since the majority must include the leader's own disk.
     let mut core = core_with(0);
     let now = elect(&mut core);
-    core.propose(now, ProposalToken(1), vec![1]).expect("it leads");
+    core.propose(now, ProposalToken(1), vec![1]).expect("this host leads");
     let output = core.drain(now);
     let held = AppendReply { prev_index: LogIndex(0), matched: true, index: LogIndex(2), round: 1 };
 
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn seat_of_new_folder_is_committed_without_its_own_voice() {
-    // Host 1 lost its disk and answers from an empty folder, host 2 is silent. Were the new
-    // folder to vouch for itself, the leader and a host without memory would be a majority.
+fn seat_of_new_folder_is_committed_without_its_own_acknowledgement() {
+    // Host 1 lost its disk and replies from an empty folder; host 2 is silent. If the new folder
+    // counted for its own seat, the leader and a host without data would form a majority.
     let mut core = core_with(0);
     let now = elect(&mut core);
     let held = |index| {
@@ -152,15 +152,13 @@
     core.receive(now, message(2, 2, held(2)));
 
     assert_eq!((alone, core.commit()), (LogIndex(1), LogIndex(2)));
-    assert!(
-        core.seats().contains(&MemberSeat { node: TestCluster::name(1), folder: FolderId(77) })
-    );
+    assert!(core.seats().contains(&VoterSeat { node: TestCluster::name(1), folder: FolderId(77) }));
 }
 
 #[test]
 fn large_state_is_not_written_again_for_few_entries() {
-    // The state is many megabytes. Taking a snapshot every few thousand entries, as for a small
-    // one, the disk and the control thread would do little else.
+    // With a fixed threshold of a few thousand entries, a state of many megabytes would be written
+    // so often that the disk and the control thread would do little else.
     let mut core = core_with(0);
     let now = elect(&mut core);
     let mut token = 0;
@@ -189,11 +187,11 @@
 
 #[test]
 fn leader_whose_disk_hangs_steps_down() {
-    // The leader's disk takes a write and never ends it. Its heartbeats would keep the others
-    // quiet for ever, and no change could be accepted although two disks work.
+    // The leader's disk never completes a write. Its heartbeats would otherwise prevent an election
+    // for ever, and no change could be accepted although two disks work.
     let mut core = core_with(0);
     let mut now = elect(&mut core);
-    core.propose(now, ProposalToken(1), vec![1]).expect("it leads");
+    core.propose(now, ProposalToken(1), vec![1]).expect("this host leads");
     let answer = |round| {
         let reply =
             AppendReply { prev_index: LogIndex(1), matched: true, index: LogIndex(1), round };
@@ -209,6 +207,6 @@
         led_for += u32::from(core.role() == MemberRole::Leader);
     }
 
-    assert!(led_for > 5, "{led_for}: a slow write is no reason yet");
+    assert!(led_for > 5, "{led_for}: stepped down after a short write delay");
     assert_ne!(core.role(), MemberRole::Leader);
 }
--- a/crates/control/tests/once_only.rs
+++ b/crates/control/tests/ledger_and_stops.rs
@@ -1,4 +1,4 @@
-//! The ledger of claims and the book of stops.
+//! Tests of the claim ledger and the stop book.
 
 use assert_matches::assert_matches;
 use briartray_control::state::{
@@ -34,8 +34,8 @@
 
 #[test]
 fn key_of_dead_entry_stays_claimed() {
-    // An entry claims a key and dies before or after dispatch; nobody can tell which. Run again,
-    // the buyer would hold two lots.
+    // An entry claims a key and dies before or after dispatch, so it is unknown whether the call
+    // ran. If the key were released, the call could run twice.
     let mut ledger = ClaimLedger::default();
     ledger.apply(&claim("lot-7", 1));
 
@@ -54,8 +54,8 @@
 
 #[test]
 fn late_release_of_another_attempt_changes_nothing() {
-    // A release that was held up arrives when another attempt holds the key. Honoured, it would
-    // let a third attempt run the call a second time.
+    // A delayed release arrives after another attempt has claimed the key. If it took effect, a
+    // third attempt could run the call a second time.
     let mut ledger = ClaimLedger::default();
     ledger.apply(&claim("lot-7", 1));
     ledger.apply(&release("lot-7", 1));
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn answers_are_bounded_and_their_keys_stay() {
-    // Answers are kept until memory is used up. The oldest go, and a resend is told truthfully
-    // that the call ran; its key is never free again.
+fn answers_are_evicted_while_claims_remain() {
+    // When answers exceed the memory limit, the oldest are evicted. A resend must still learn that
+    // the call ran, and its key must never become free again.
     let mut ledger = ClaimLedger::default();
     let count = MAX_ANSWER_BYTES / MAX_KEPT_ANSWER_BYTES + 1;
     for number in 0..count {
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn forgetting_spares_unknown_outcomes() {
-    // An operator makes room. A key whose outcome is unknown may belong to a call that ran, so it
-    // is not given free with the others.
+fn forget_keeps_claims_with_unknown_outcome() {
+    // An operator removes old claims. A key with an unknown outcome may belong to a call that ran,
+    // so it must remain claimed.
     let mut ledger = ClaimLedger::default();
     ledger.apply(&claim("unknown", 1));
     ledger.apply(&claim("old", 2));
@@ -120,8 +120,8 @@
 
 #[test]
 fn second_of_two_racing_stops_is_checked_again() {
-    // Two operators each stop a zone, and each stop alone leaves enough replicas. Both were
-    // checked before either was committed; together they would end the service.
+    // Two operators stop a zone each. Each stop alone leaves enough replicas, but both were checked
+    // before either was committed; together they would stop the service.
     let mut book = StopBook::default();
     let checked = book.revision();
     book.plan(checked, &stop_of("a", 1));
--- a/crates/control/tests/replace_group.rs
+++ b/crates/control/tests/replace_group.rs
@@ -1,4 +1,4 @@
-//! Replacing a group in one step.
+//! Tests of replacing a group atomically.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -41,7 +41,7 @@
     );
     assert!(group > old && fencing > before);
     assert_eq!(state.groups.seat(&"h1".into()).group, Some(group));
-    // The member that was dropped must refuse orders of its old group when it comes back.
+    // A host that left the group must reject orders of that group when it returns.
     let dropped = state.groups.seat(&"h2".into());
     assert_eq!(dropped.group, None);
     assert!(dropped.fencing > before);
@@ -49,8 +49,8 @@
 
 #[test]
 fn replacement_with_taken_host_changes_nothing() {
-    // Two plans race for the same spare. The second must leave its group as it was rather than
-    // end it and then fail to form the successor.
+    // Two plans race for the same spare host. The second must not dissolve its group and then fail
+    // to form the successor.
     let mut state = ControlState::default();
     let one = form(&mut state, &["h1", "h2"]);
     let two = form(&mut state, &["h3", "h4"]);
@@ -65,7 +65,7 @@
 
 #[test]
 fn replacement_of_gone_group_changes_nothing() {
-    // A planner acts on a view that is older than the log: its group has ended meanwhile.
+    // The planner acts on an outdated view: the group was dissolved in the meantime.
     let mut state = ControlState::default();
     let group = form(&mut state, &["h1", "h2"]);
     state.apply(&ControlCommand::DissolveGroup { group });
--- a/crates/control/tests/rules_lease.rs
+++ b/crates/control/tests/rules_lease.rs
@@ -1,8 +1,7 @@
-//! The leader's and the entries' view of rules leases against each other.
+//! Tests of rules leases between leaders and entries.
 //!
-//! A few entries and a line of leaders are stepped in one thread over a network that loses and
-//! delays messages. Whenever a change is answered as accepted, no entry may decide under older
-//! rules, now or later.
+//! A few entries and successive leaders are simulated in one thread over a network that loses and
+//! delays messages. Once a change is answered as accepted, no entry may decide under older rules.
 
 use std::time::Duration;
 
@@ -17,21 +16,21 @@
 const STEP: Duration = Duration::from_millis(50);
 const SEEDS: u64 = 60;
 
-/// A request or grant on its way.
+/// A request or grant in transit.
 #[derive(Debug, Clone, Copy)]
 enum LeaseMessage {
     Ask { entry: usize, nonce: LeaseNonce, adopted: RevisionNumber },
     Grant { entry: usize, nonce: LeaseNonce, revision: RevisionNumber, terms: LeaseTerms },
 }
 
-/// One entry: its lease, and the revision under which it decides.
+/// One entry with its lease and the revision under which it decides.
 struct TestEntry {
     holder: RulesHolder,
     adopted: RevisionNumber,
     cut_off_until: TimePoint,
 }
 
-/// Everything that is stepped.
+/// A simulated leader with its entries and the messages in transit.
 struct TestFleet {
     random: ChaCha8Rng,
     now: TimePoint,
@@ -48,7 +47,7 @@
     NodeName::new(&format!("entry-{entry}"))
 }
 
-/// An entry that has just started.
+/// Creates an entry that has just started.
 fn started(random: &mut ChaCha8Rng) -> TestEntry {
     let first = LeaseNonce(random.random());
     TestEntry {
@@ -147,7 +146,8 @@
             match message {
                 LeaseMessage::Ask { entry, nonce, adopted } => {
                     self.book.adopted(&name(entry), adopted);
-                    let terms = self.book.grant(now, &name(entry)).expect("it is registered");
+                    let terms =
+                        self.book.grant(now, &name(entry)).expect("the entry is registered");
                     let revision = self.committed;
                     self.post(LeaseMessage::Grant { entry, nonce, revision, terms });
                 }
@@ -181,7 +181,7 @@
     }
 }
 
-/// Steps one fleet; returns how many changes were accepted.
+/// Runs one seed and returns the number of accepted changes.
 fn run(seed: u64, hold: HoldPolicy) -> u64 {
     let mut fleet = TestFleet::new(seed, hold);
     for _ in 0..STEPS {
@@ -192,17 +192,17 @@
 
 #[test]
 fn no_entry_decides_under_older_rules_after_acceptance() {
-    // Renewals are lost, late and doubled, entries are cut off and restart, leaders change. A caller
-    // must never be served under rules that were replaced by an accepted change.
+    // Renewals are lost, delayed and duplicated; entries are cut off and restart; leaders change.
+    // No caller may be served under rules that were replaced by an accepted change.
     let accepted: u64 = (0..SEEDS).map(|seed| run(seed, HoldPolicy::BoundedMs(10_000))).sum();
 
     assert!(accepted > SEEDS, "only {accepted} changes were accepted");
 }
 
 #[test]
-fn entry_that_holds_without_a_bound_keeps_changes_waiting() {
-    // Under this policy an entry goes on for as long as it is cut off. A change must wait for it
-    // until an operator vouches that it is gone.
+fn unbounded_hold_delays_change_until_entry_is_forgotten() {
+    // Under this policy an entry keeps deciding for as long as it is cut off. A change must wait
+    // until an operator declares that the entry has stopped.
     let policy = terms(HoldPolicy::UntilForgotten);
     let (now, much_later) = (TimePoint(0), TimePoint(3_600_000_000));
     let mut book = LeaseBook::new(now, &[(name(0), policy), (name(1), policy)]);
@@ -216,9 +216,9 @@
 }
 
 #[test]
-fn late_grant_counts_from_the_moment_of_asking() {
-    // A grant lies in a queue for longer than the lease. Counted from its arrival it would let the
-    // entry decide long after the leader stopped reckoning with it.
+fn late_grant_counts_from_request_time() {
+    // A grant is delayed for longer than the lease. If it counted from its arrival, the entry could
+    // decide long after the leader considers the lease expired.
     let mut holder = RulesHolder::new(LeaseNonce(7));
     let nonce = holder.ask(TimePoint(0));
     let arrival = TimePoint(20_000_000);
@@ -230,9 +230,9 @@
 }
 
 #[test]
-fn grant_to_an_earlier_request_is_timed_from_it() {
-    // Two renewals are under way and only the older one is answered. Timed from the newer request
-    // the lease would be held too long.
+fn grant_counts_from_the_request_it_answers() {
+    // Two renewals are pending and only the older one is answered. Counted from the newer request,
+    // the lease would last too long.
     let mut holder = RulesHolder::new(LeaseNonce(7));
     let old = holder.ask(TimePoint(0));
     let _new = holder.ask(TimePoint(9_000_000));
@@ -245,9 +245,9 @@
 }
 
 #[test]
-fn late_grant_to_a_predecessor_is_not_taken() {
-    // An entry restarts while a grant to it is still under way. Taken by the new process, the old
-    // grant would bring rules back that were replaced since.
+fn late_grant_to_previous_process_is_ignored() {
+    // An entry restarts while a grant is in transit. If the new process accepted it, rules that
+    // have been replaced since would come into force again.
     let mut before = RulesHolder::new(LeaseNonce(3_141));
     let late = before.ask(TimePoint(0));
     let mut after = RulesHolder::new(LeaseNonce(2_718));
@@ -260,9 +260,9 @@
 }
 
 #[test]
-fn new_leader_reckons_with_leases_of_the_old_one() {
-    // The old leader granted a lease just before it was cut off. The new one has never heard from
-    // the entry, which may still decide under the old rules.
+fn new_leader_assumes_leases_of_previous_leader() {
+    // The previous leader granted a lease just before it was cut off. The new leader has not heard
+    // from the entry, which may still decide under old rules.
     let elected = TimePoint(50_000_000);
     let book = LeaseBook::new(elected, &[(name(0), terms(HoldPolicy::BoundedMs(10_000)))]);
 
--- a/crates/control/tests/snapshot_log.rs
+++ b/crates/control/tests/snapshot_log.rs
@@ -1,4 +1,4 @@
-//! Changes against whole snapshots: whoever follows the changes has the newest snapshot.
+//! Tests that applying changes yields the same snapshot as sending it in full.
 
 use briartray_control::snapshots::SnapshotLog;
 use briartray_model::codec::encode;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Changes `snapshot` at random, as control does: groups come, go and change, rules change.
+/// Changes `snapshot` at random: groups are added, removed and changed, and rules change.
 fn change(snapshot: &mut RoutingSnapshot, random: &mut ChaCha8Rng) {
     snapshot.version += random.random_range(1..4);
     let group = random.random_range(0..20);
@@ -49,13 +49,13 @@
         None => held.clone(),
         Some(SnapshotUpdate::Whole(whole)) => whole,
         Some(SnapshotUpdate::Changes(change)) => {
-            held.after(&change).expect("changes start from what the entry has")
+            held.after(&change).expect("changes start from the version that the entry holds")
         }
     }
 }
 
 #[test]
-fn followers_of_changes_have_the_newest_snapshot() {
+fn applied_changes_yield_the_newest_snapshot() {
     for seed in 0..SEEDS {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut log = SnapshotLog::default();
@@ -77,8 +77,8 @@
 
 #[test]
 fn entry_of_another_leader_is_sent_the_whole_snapshot() {
-    // The leader changes. Versions of the new one say nothing about what an entry holds, so
-    // changes must not be laid over it.
+    // The leader changes. The new leader's versions are not comparable with what an entry holds, so
+    // changes must not be applied to it.
     let mut log = SnapshotLog::default();
     log.push(RoutingSnapshot { version: (2 << 32) + 1, ..RoutingSnapshot::default() });
     let mut next = RoutingSnapshot { version: (2 << 32) + 2, ..RoutingSnapshot::default() };
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn one_changed_group_costs_few_bytes() {
+fn one_changed_group_needs_few_bytes() {
     let groups = (0..2800).map(|group| record(group, 1, true)).collect();
     let whole = RoutingSnapshot { version: 1, groups, ..RoutingSnapshot::default() };
     let mut next = whole.clone();
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -1,4 +1,4 @@
-//! The data folder under crashes, damage and a disk that fails.
+//! Tests of the data folder under crashes, damage and disk errors.
 
 use std::fs;
 use std::io;
@@ -8,8 +8,8 @@
 
 use assert_matches::assert_matches;
 use briartray_control::agreement::{
-    EntryPayload, FolderId, HardState, LogEntry, LogSnapshot, MemberSeat, SnapshotMeta,
-    StorageWrite, WriteBatch,
+    EntryPayload, FolderId, HardState, LogEntry, LogSnapshot, SnapshotMeta, StorageWrite,
+    VoterSeat, WriteBatch,
 };
 use briartray_control::storage::{DataFolder, FileAccess, OpenedFolder, StorageError, inspect};
 use briartray_model::names::{LogIndex, NodeName, TermNumber};
@@ -47,16 +47,16 @@
 }
 
 fn snapshot(index: u64, term: u64) -> LogSnapshot {
-    let seats = vec![MemberSeat { node: NodeName::new("a"), folder: FolderId(7) }];
+    let seats = vec![VoterSeat { node: NodeName::new("a"), folder: FolderId(7) }];
     let meta = SnapshotMeta { index: LogIndex(index), term: TermNumber(term), seats };
     LogSnapshot { meta, data: std::sync::Arc::new(vec![9; 100]) }
 }
 
-/// A folder with one sync of one entry for each of `1..=count`.
+/// Writes entries `1..=count` to a folder with one sync each.
 fn filled(path: &Path, count: u64) {
     let mut opened = open(path);
     for index in 1..=count {
-        opened.folder.write(&append(index..=index, 1)).expect("the disk takes it");
+        opened.folder.write(&append(index..=index, 1)).expect("the write succeeds");
     }
 }
 
@@ -83,14 +83,14 @@
         HardState { term: TermNumber(3), voted: Some(NodeName::new("b")), commit: LogIndex(2) };
     let seats = snapshot(0, 0).meta.seats;
     let mut opened = open(folder.path());
-    opened.folder.write(&append(1..=5, 1)).expect("the disk takes it");
+    opened.folder.write(&append(1..=5, 1)).expect("the write succeeds");
     let more = vec![
         StorageWrite::Founding(seats.clone()),
         StorageWrite::Hard(hard.clone()),
         StorageWrite::Truncate(LogIndex(4)),
         StorageWrite::Append(vec![entry(4, 3)]),
     ];
-    opened.folder.write(&batch(more)).expect("the disk takes it");
+    opened.folder.write(&batch(more)).expect("the write succeeds");
     drop(opened);
 
     let found = open(folder.path()).recovered;
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn torn_tail_is_cut_off_wherever_the_crash_came() {
-    // Power fails while records are written; the tail of the log is half there. Nobody was
-    // answered, so the host starts without it and can write again.
+fn torn_tail_of_any_length_is_removed() {
+    // Power fails while records are written and leaves a partial tail. Its entries were never
+    // acknowledged, so the host must start without them and accept new writes.
     let folder = temporary();
     filled(folder.path(), 3);
     let file = log_file(folder.path());
@@ -114,24 +114,24 @@
         fs::write(&file, &whole[..whole.len() - torn]).expect("the file is written");
         let mut opened = open(folder.path());
         assert_eq!(opened.recovered.entries, [entry(1, 1), entry(2, 1)]);
-        opened.folder.write(&append(3..=3, 2)).expect("the disk takes it");
+        opened.folder.write(&append(3..=3, 2)).expect("the write succeeds");
         drop(opened);
         assert_eq!(open(folder.path()).recovered.entries.last(), Some(&entry(3, 2)));
         let begun = log_file(folder.path());
         if begun != file {
-            fs::remove_file(begun).expect("the file goes");
+            fs::remove_file(begun).expect("the file is removed");
         }
     }
 }
 
 #[test]
-fn torn_first_record_of_one_sync_is_no_damage() {
-    // The disk wrote the end of an unanswered sync but not its beginning. Later records of the
-    // same sync are no sign that the torn one was ever answered.
+fn torn_first_record_of_last_sync_is_not_damage() {
+    // The disk stored the end of the last sync but not its beginning. Later records of the same
+    // sync do not prove that the torn record was acknowledged.
     let folder = temporary();
     filled(folder.path(), 2);
     let mut opened = open(folder.path());
-    opened.folder.write(&append(3..=6, 1)).expect("the disk takes it");
+    opened.folder.write(&append(3..=6, 1)).expect("the write succeeds");
     drop(opened);
     flip(&log_file(folder.path()), 40);
 
@@ -142,8 +142,8 @@
 
 #[test]
 fn corrupt_middle_is_refused_with_file_and_offset() {
-    // A disk block rots under records that were answered long ago. Cutting the log there would
-    // lose accepted changes without a word.
+    // A disk block is damaged before records that were acknowledged long ago. Truncating the log
+    // there would silently lose accepted changes.
     let folder = temporary();
     filled(folder.path(), 5);
     let file = log_file(folder.path());
@@ -158,12 +158,15 @@
 
 #[test]
 fn lost_committed_entries_are_refused() {
-    // The whole log file is gone while the vote file knows that its entries were committed.
+    // The log file is missing although the vote file records that its entries were committed.
     let folder = temporary();
     filled(folder.path(), 3);
     let hard = HardState { term: TermNumber(1), voted: None, commit: LogIndex(3) };
-    open(folder.path()).folder.write(&batch(vec![StorageWrite::Hard(hard)])).expect("it is taken");
-    fs::remove_file(log_file(folder.path())).expect("the file goes");
+    open(folder.path())
+        .folder
+        .write(&batch(vec![StorageWrite::Hard(hard)]))
+        .expect("the write succeeds");
+    fs::remove_file(log_file(folder.path())).expect("the file is removed");
 
     let refused = try_open(folder.path()).map(drop);
 
@@ -172,13 +175,13 @@
 
 #[test]
 fn damaged_small_files_are_refused() {
-    // Without its vote a host could vote twice in a term, without its identity it could be taken
-    // for another folder.
+    // Without its vote a host could vote twice in a term; without its identity it could pass for
+    // another folder.
     for name in ["vote", "identity", "snapshot"] {
         let folder = temporary();
         let keep = StorageWrite::Snapshot { snapshot: snapshot(2, 1), keep_after: LogIndex(0) };
         filled(folder.path(), 3);
-        open(folder.path()).folder.write(&batch(vec![keep])).expect("the disk takes it");
+        open(folder.path()).folder.write(&batch(vec![keep])).expect("the write succeeds");
         flip(&folder.path().join(name), 10);
 
         let refused = try_open(folder.path()).map(drop);
@@ -188,15 +191,15 @@
 }
 
 #[test]
-fn failed_sync_is_never_taken_back() {
-    // The disk reports an error once and then goes on as if nothing had happened. What it lost
-    // is not known: the second attempt must fail although the disk would take it.
+fn writes_are_refused_after_failed_sync() {
+    // The disk reports one error and then works again. It is unknown what was lost, so the second
+    // write must fail although the disk would accept it.
     let folder = temporary();
     let mut calls = 0;
     let access = FileAccess {
         sync: Box::new(move |file| {
             calls += 1;
-            // Making the folder takes four syncs, beginning a log file one.
+            // Creating the folder takes four syncs, starting a log file takes one.
             if calls == 6 { Err(io::Error::other("lost")) } else { file.sync_data() }
         }),
         ..FileAccess::default()
@@ -215,8 +218,8 @@
 
 #[test]
 fn full_disk_stops_writes_and_loses_nothing_synced() {
-    // The disk is full in the middle of a record. After space was made the host starts again
-    // with all that was answered.
+    // The disk becomes full in the middle of a record. After space is freed, the host must start
+    // with all acknowledged entries.
     let folder = temporary();
     filled(folder.path(), 2);
     let full = Arc::new(AtomicBool::new(false));
@@ -244,10 +247,10 @@
 }
 
 #[test]
-fn records_of_a_failed_sync_count_only_once_they_are_written_again() {
-    // The sync of a record fails, and the host opens its folder again. The record still reads, from
-    // the memory of the system, and its pages pass for clean: a later sync would tell nothing. Had
-    // the host counted it as kept, an acknowledged change could be gone after a loss of power.
+fn records_of_failed_sync_are_rewritten_on_open() {
+    // After a failed sync, the operating system still returns the record and marks its pages as
+    // clean, so that a later sync has no effect. Without rewriting the record on open, an
+    // acknowledged change could be lost in a power failure.
     let folder = temporary();
     filled(folder.path(), 2);
     let access =
@@ -259,7 +262,7 @@
     let seen = Arc::clone(&written);
     let access = FileAccess {
         write: Box::new(move |file, bytes| {
-            seen.lock().expect("nobody failed").extend_from_slice(bytes);
+            seen.lock().expect("no thread has panicked").extend_from_slice(bytes);
             io::Write::write_all(file, bytes)
         }),
         ..FileAccess::default()
@@ -268,13 +271,14 @@
 
     assert_eq!(opened.recovered.entries, [entry(1, 1), entry(2, 1)]);
     let kept = fs::read(log_file(folder.path())).expect("the log reads");
-    assert!(written.lock().expect("nobody failed").starts_with(&kept));
+    assert!(written.lock().expect("no thread has panicked").starts_with(&kept));
 }
 
 #[test]
-fn contents_are_to_blame_only_when_they_do_not_fit() {
-    // A host may begin an unusable folder anew, as after the loss of a disk. It must not do so when
-    // the folder is in use or its disk is slow or full: it would destroy what it has promised.
+fn only_damaged_contents_count_as_unusable() {
+    // A host may replace a folder with unusable contents, as after a disk loss. It must not do so
+    // if the folder is locked or its disk is full: that would destroy votes and acknowledged
+    // entries.
     let folder = temporary();
     let _first = open(folder.path());
     let locked = try_open(folder.path()).map(drop);
@@ -295,7 +299,7 @@
 
 #[test]
 fn second_process_is_refused() {
-    // An operator starts a second process on the same folder; both would write one log.
+    // Two processes on the same folder would write to the same log.
     let folder = temporary();
     let _first = open(folder.path());
 
@@ -306,8 +310,8 @@
 
 #[test]
 fn folder_of_another_node_or_cluster_is_refused() {
-    // A folder is copied to another host, or the list of control hosts is changed. Votes would
-    // be counted under a wrong name, or against a wrong number of hosts.
+    // A folder is copied to another host, or the list of control hosts changes. Votes would be
+    // counted for the wrong host, or against the wrong number of hosts.
     let folder = temporary();
     drop(open(folder.path()));
     let (a, b) = (NodeName::new("a"), NodeName::new("b"));
@@ -326,19 +330,19 @@
 
 #[test]
 fn installed_snapshot_replaces_records_even_after_a_crash() {
-    // The process ends after the snapshot was kept and before the old records were removed. They
-    // do not lead up to it and must not come back.
+    // The process ends after storing an installed snapshot but before removing the old records.
+    // They are not contiguous with the snapshot and must not be restored.
     let folder = temporary();
     filled(folder.path(), 3);
     let old = fs::read(log_file(folder.path())).expect("the file reads");
     let old_file = log_file(folder.path());
     let install = batch(vec![StorageWrite::Install(snapshot(9, 4))]);
-    open(folder.path()).folder.write(&install).expect("the disk takes it");
+    open(folder.path()).folder.write(&install).expect("the write succeeds");
     fs::write(&old_file, old).expect("the old records are back");
 
     let mut opened = open(folder.path());
     let found = opened.recovered.clone();
-    opened.folder.write(&append(10..=10, 4)).expect("the disk takes it");
+    opened.folder.write(&append(10..=10, 4)).expect("the write succeeds");
     drop(opened);
 
     assert_eq!(found.entries, []);
@@ -347,8 +351,8 @@
 }
 
 #[test]
-fn report_changes_nothing() {
-    // An operator looks at a folder after a crash. Looking must not cut off or lock anything.
+fn inspect_does_not_modify_folder() {
+    // Inspecting a folder after a crash must not truncate or lock anything.
     let folder = temporary();
     filled(folder.path(), 3);
     let file = log_file(folder.path());
