--- a/crates/node/src/entry/watch.rs
+++ b/crates/node/src/entry/watch.rs
@@ -72,7 +72,7 @@
 
 fn renewal(shared: &EntryShared, nonce: LeaseNonce, leaving: bool) -> WatchRequest {
     let view = shared.view();
-    let (runs, prints) = shared.crashes.told(shared.clock.now());
+    let (runs, prints) = shared.crashes.events_to_report(shared.clock.now());
     WatchRequest {
         node: shared.node.clone(),
         nonce,
--- a/crates/quarantine/src/evidence_log.rs
+++ b/crates/quarantine/src/evidence_log.rs
@@ -51,7 +51,7 @@
     }
 
     /// Events for the next report: all of them until a new leader has them, then only recent ones.
-    pub fn told(&self, now: TimePoint) -> Vec<RunEvent> {
+    pub fn events_to_report(&self, now: TimePoint) -> Vec<RunEvent> {
         let all = self.full_report_from.is_some();
         let due = |run: &&LoggedRun| {
             let age = now.since(run.ended);
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -23,7 +23,7 @@
 pub use print_guard::{PrintGuard, PrintStanding};
 pub use print_key::{PrintKey, PrintParts};
 pub use quarantine_list::{QuarantineList, QuarantineRecord, ShownRecord};
-pub use quarantine_tracker::QuarantineDesk;
+pub use quarantine_tracker::QuarantineTracker;
 
 /// Consecutive crashes after which a request is quarantined.
 pub const FATAL_CRASHES: usize = 4;
--- a/crates/quarantine/src/quarantine_tracker.rs
+++ b/crates/quarantine/src/quarantine_tracker.rs
@@ -14,7 +14,7 @@
 
 /// Crashes known to a leader, and the view for entries.
 #[derive(Debug, Clone)]
-pub struct QuarantineDesk {
+pub struct QuarantineTracker {
     crashes: CrashBook,
     view: PrintView,
     /// Whether the view may be outdated.
@@ -23,7 +23,7 @@
     since: SortedTable<RequestPrint, TimePoint>,
 }
 
-impl Default for QuarantineDesk {
+impl Default for QuarantineTracker {
     fn default() -> Self {
         Self {
             crashes: CrashBook::default(),
@@ -34,7 +34,7 @@
     }
 }
 
-impl QuarantineDesk {
+impl QuarantineTracker {
     /// Records a run reported by an entry, unless its request is in quarantine.
     pub fn take(&mut self, now: TimePoint, event: &RunEvent, list: &QuarantineList) {
         if !list.holds(event.print) {
@@ -81,7 +81,7 @@
     }
 
     /// Whether the view for entries may be outdated.
-    pub fn is_due(&self) -> bool {
+    pub fn is_view_stale(&self) -> bool {
         self.view_stale
     }
 
--- a/crates/quarantine/tests/decisions.rs
+++ b/crates/quarantine/tests/decisions.rs
@@ -7,7 +7,7 @@
 use briartray_model::{TimePoint, codec};
 use briartray_quarantine::{
     CrashBook, EvidenceLog, FATAL_CRASHES, PrintGuard, PrintKey, PrintParts, PrintStanding,
-    QuarantineDesk, QuarantineList, QuarantineRecord,
+    QuarantineList, QuarantineRecord, QuarantineTracker,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -135,10 +135,10 @@
         log.note(at(millis), FATAL, crashed(&format!("i-{number}")));
     }
     let now = at(20_000);
-    assert!(log.told(now).is_empty(), "old runs are reported only to a new leader");
+    assert!(log.events_to_report(now).is_empty(), "old runs are reported only to a new leader");
 
     log.begin_leader(40);
-    let reported = log.told(now);
+    let reported = log.events_to_report(now);
     let mut book = CrashBook::default();
     for event in &reported {
         book.record_run(TimePoint(0), event);
@@ -147,12 +147,12 @@
     assert_eq!(fatal_prints(&mut book), [FATAL]);
     log.confirmed(40);
     assert_eq!(
-        log.told(now).len(),
+        log.events_to_report(now).len(),
         FATAL_CRASHES,
         "an earlier report does not prove that the new leader has the runs"
     );
     log.confirmed(41);
-    assert!(log.told(now).is_empty());
+    assert!(log.events_to_report(now).is_empty());
 }
 
 /// Guards against a lifted quarantine that the next leader imposes again.
@@ -173,7 +173,7 @@
 
     assert_eq!(guard.standing(FATAL), PrintStanding::Clear);
     assert!(!guard.is_watching());
-    assert_eq!(log.told(at(0)).len(), 1);
+    assert_eq!(log.events_to_report(at(0)).len(), 1);
 }
 
 /// Guards against memory use that grows with every request involved in a crash.
@@ -191,7 +191,7 @@
     book.record_run(at(30_000), &event(FATAL, crashed("i-9")));
 
     assert!(book.len() <= 2_048, "{} requests are stored", book.len());
-    let reported = codec::encode(&log.told(at(22_000))).expect("events encode").len();
+    let reported = codec::encode(&log.events_to_report(at(22_000))).expect("events encode").len();
     assert!(reported <= 10_000, "{reported} bytes in one report");
     assert_eq!(fatal_prints(&mut book), [FATAL]);
 }
@@ -231,7 +231,7 @@
 fn quarantine_is_lifted_after_an_hour() {
     let mut list = QuarantineList::default();
     list.add(&record(7));
-    let mut tracker = QuarantineDesk::default();
+    let mut tracker = QuarantineTracker::default();
 
     let first = tracker.keep(at(0), &list);
     let before = tracker.keep(at(3_599_000), &list);
@@ -246,8 +246,8 @@
 #[test]
 fn crashes_from_before_a_lift_do_not_count() {
     let mut list = QuarantineList::default();
-    let mut tracker = QuarantineDesk::default();
-    let report_old_crashes = |tracker: &mut QuarantineDesk, list: &QuarantineList, now: u64| {
+    let mut tracker = QuarantineTracker::default();
+    let report_old_crashes = |tracker: &mut QuarantineTracker, list: &QuarantineList, now: u64| {
         for number in 0..4_u64 {
             let late = event(FATAL, crashed(&format!("i-{number}")));
             let age_ms = now - number * 500;
@@ -269,7 +269,7 @@
 #[test]
 fn a_leader_publishes_a_view_of_its_own_term() {
     let mut list = QuarantineList::default();
-    let mut tracker = QuarantineDesk::default();
+    let mut tracker = QuarantineTracker::default();
 
     let empty = tracker.refresh(TermNumber(3), &list).clone();
     list.add(&record(7));
@@ -281,7 +281,7 @@
     assert_eq!(held.quarantined, [FATAL]);
     assert_eq!(tracker.refresh(TermNumber(3), &list), &held, "the view is unchanged");
     tracker.take(at(0), &event(FATAL, crashed("i-1")), &list);
-    assert!(!tracker.is_due(), "requests in quarantine are not counted again");
+    assert!(!tracker.is_view_stale(), "requests in quarantine are not counted again");
 }
 
 /// Guards against different requests with the same print: every part and the secret must count.
--- a/crates/routing/src/admission/queue.rs
+++ b/crates/routing/src/admission/queue.rs
@@ -89,7 +89,7 @@
 
     /// Counts the arrival of a request under a limit. A new limit allows nothing until a share is
     /// granted.
-    pub fn expect_limit(&mut self, now: TimePoint, key: &LimitKey, counted: bool, rated: bool) {
+    pub fn register_limit(&mut self, now: TimePoint, key: &LimitKey, counted: bool, rated: bool) {
         let none = || TeamLimit::new(now, counted.then_some(0), rated.then_some(0.0));
         self.limits.get_or_insert_with(key.clone(), none).count_arrival(now);
     }
@@ -110,7 +110,7 @@
     }
 
     /// Returns demand and held share of each limit.
-    pub fn limit_uses(&mut self, now: TimePoint) -> Vec<LimitUsage> {
+    pub fn limit_usage(&mut self, now: TimePoint) -> Vec<LimitUsage> {
         let services = &self.services;
         let waiting = |key: &LimitKey| -> u32 {
             let queues = services.values().filter_map(|service| service.teams.get(&key.team));
--- a/crates/routing/src/admission/share.rs
+++ b/crates/routing/src/admission/share.rs
@@ -25,7 +25,7 @@
 
 /// Renewal of one share by an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShareAsk {
+pub struct ShareRequest {
     /// Number of the renewal; increases with each one.
     pub nonce: u64,
     /// Units that the entry could use now.
@@ -87,7 +87,12 @@
     /// settles which earlier answers were accepted: no answer still in transit counts any more. An
     /// entry that reported a share accepts the answer only while that share is valid: an earlier
     /// leader may have granted it to another entry since then, unknown to this leader.
-    pub fn renew(&mut self, now: TimePoint, holder: HolderId, request: &ShareAsk) -> Option<u64> {
+    pub fn renew(
+        &mut self,
+        now: TimePoint,
+        holder: HolderId,
+        request: &ShareRequest,
+    ) -> Option<u64> {
         if self.holders.get(&holder).is_some_and(|known| request.nonce <= known.nonce) {
             return None;
         }
--- a/crates/routing/src/attempt/tracker.rs
+++ b/crates/routing/src/attempt/tracker.rs
@@ -128,7 +128,7 @@
     }
 
     /// Records that the caller has received part of the answer.
-    pub fn mark_shown(&mut self) {
+    pub fn mark_delivered(&mut self) {
         self.delivered = true;
     }
 
@@ -170,7 +170,7 @@
 
     /// Handles the end of the stream before the end of the answer. `nothing_sent` tells whether the
     /// dispatch was certainly not sent.
-    pub fn on_break(&mut self, now: TimePoint, nothing_sent: bool) -> TrackerAction {
+    pub fn on_disconnect(&mut self, now: TimePoint, nothing_sent: bool) -> TrackerAction {
         if self.phase == TrackerPhase::Dispatched && nothing_sent {
             return TrackerAction::Refused(RefusalReason::EndpointUnreachable, None);
         }
@@ -178,7 +178,7 @@
     }
 
     /// Handles the expiry of [`AttemptTracker::wait`] without a frame.
-    pub fn on_silence(&mut self, now: TimePoint) -> TrackerAction {
+    pub fn on_timeout(&mut self, now: TimePoint) -> TrackerAction {
         if now >= self.plan.deadline {
             return TrackerAction::Late;
         }
--- a/crates/routing/src/retry/policy.rs
+++ b/crates/routing/src/retry/policy.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEffect {
     /// The attempt was not run and never will be, because the replica was full.
-    Bounced,
+    ReplicaFull,
     /// The attempt was not run and never will be.
     NotRun,
     /// The attempt may have run.
@@ -31,11 +31,11 @@
     /// Number of attempts, without refusals by full replicas.
     pub attempts: u32,
     /// Number of refusals by full replicas.
-    pub bounces: u32,
+    pub full_refusals: u32,
     /// Whether the request may safely run twice.
     pub repeatable: bool,
     /// Whether the caller has received any part of an answer.
-    pub seen: bool,
+    pub delivered: bool,
 }
 
 /// Why there is no further attempt.
@@ -81,15 +81,15 @@
     budget: &mut RetryBudget,
     random: &mut R,
 ) -> RetryDecision {
-    if effect == AttemptEffect::Unknown && (history.seen || !history.repeatable) {
+    if effect == AttemptEffect::Unknown && (history.delivered || !history.repeatable) {
         return RetryDecision::Stop(StopReason::Unsafe);
     }
     let left = deadline.since(now);
     if left < MIN_TIME_LEFT {
         return RetryDecision::Stop(StopReason::Deadline);
     }
-    if effect == AttemptEffect::Bounced {
-        let below_limit = history.bounces < MAX_FULL_REFUSALS;
+    if effect == AttemptEffect::ReplicaFull {
+        let below_limit = history.full_refusals < MAX_FULL_REFUSALS;
         return if below_limit {
             RetryDecision::Retry(Duration::ZERO)
         } else {
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -102,7 +102,7 @@
     // The agent crashed after it handed the call to the service, and its successor does not know
     // the attempt. A caller told `not_run` would repeat a booking.
     let mut tracker = tracker(false);
-    tracker.on_break(seconds(1), false);
+    tracker.on_disconnect(seconds(1), false);
     tracker.on_reply(seconds(2), AgentReply::NotHeld { attempt: ATTEMPT });
 
     let action = tracker.on_reply(seconds(3), tombstone(TombstoneState::NeverRuns, 2));
@@ -118,7 +118,7 @@
     tracker.on_reply(seconds(0), chunk(0));
     let until = TimePoint::default().after(FRAME_TIMEOUT);
 
-    let action = tracker.on_silence(until);
+    let action = tracker.on_timeout(until);
 
     assert_matches!(
         action,
@@ -267,7 +267,7 @@
             let action = self.step(tracker);
             match action {
                 TrackerAction::Deliver(data) => {
-                    tracker.mark_shown();
+                    tracker.mark_delivered();
                     received.extend(data);
                 }
                 TrackerAction::Reconnect { request, .. } => self.ask(&request),
@@ -282,7 +282,7 @@
         if self.chance(5) {
             self.reader = None;
             self.held_reply = None;
-            return tracker.on_break(self.now, false);
+            return tracker.on_disconnect(self.now, false);
         }
         let Some(reply) = self.receive() else { return TrackerAction::Wait };
         if self.chance(5) {
