--- a/crates/control/src/agreement/membership.rs
+++ b/crates/control/src/agreement/membership.rs
@@ -19,7 +19,7 @@
     ///
     /// The caller must ensure that only one host ever does this in a deployment. Otherwise two logs
     /// would both accept changes, and the changes of one of them would be lost.
-    pub fn found_alone(&mut self, now: TimePoint) -> bool {
+    pub fn bootstrap(&mut self, now: TimePoint) -> bool {
         if !self.is_pristine() {
             return false;
         }
@@ -30,7 +30,7 @@
     }
 
     /// Whether the data folder holds a vote, entries, a snapshot or the founding seats.
-    pub fn has_past(&self) -> bool {
+    pub fn has_history(&self) -> bool {
         !self.is_pristine()
     }
 
@@ -55,7 +55,7 @@
     /// Proposes to remove one voter while there are more than the target, absent ones first.
     ///
     /// A host that was replaced while it was away may rejoin like any other host.
-    pub fn trim_seats(&mut self) {
+    pub fn remove_surplus_voter(&mut self) {
         let MembershipMode::Dynamic { voters } = self.membership else { return };
         if self.seats.len() <= voters || !self.no_seat_change_pending() {
             return;
@@ -92,7 +92,7 @@
     }
 
     /// Marks `node` as absent or present; another host may replace an absent voter.
-    pub fn mark_absent(&mut self, node: &NodeName, absent: bool) {
+    pub fn set_absent(&mut self, node: &NodeName, absent: bool) {
         let RoleState::Leading(state) = &mut self.role else { return };
         if let Some(peer) = state.peers.get_mut(node) {
             peer.absent = absent;
--- a/crates/control/src/lease/book.rs
+++ b/crates/control/src/lease/book.rs
@@ -86,7 +86,7 @@
     }
 
     /// Each entry with its adopted revision and whether it may decide at `now`.
-    pub fn standings(&self, now: TimePoint) -> Vec<(NodeName, RevisionNumber, bool)> {
+    pub fn entry_leases(&self, now: TimePoint) -> Vec<(NodeName, RevisionNumber, bool)> {
         self.entries
             .iter()
             .map(|(node, lease)| (node.clone(), lease.adopted, self.may_decide(now, lease)))
--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -21,13 +21,13 @@
 
 /// The rules lease of one entry.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RulesHolder {
+pub struct LeaseHolder {
     renewals: Vec<(LeaseNonce, TimePoint)>,
     confirmed: Option<(TimePoint, LeaseTerms)>,
     last_nonce: LeaseNonce,
 }
 
-impl RulesHolder {
+impl LeaseHolder {
     /// Creates a holder without a lease; `first` must be random.
     ///
     /// If nonces restarted at one, a new process could mistake a delayed grant to the previous
@@ -37,7 +37,7 @@
     }
 
     /// Starts a renewal at `now` and returns the nonce for the request.
-    pub fn ask(&mut self, now: TimePoint) -> LeaseNonce {
+    pub fn start_renewal(&mut self, now: TimePoint) -> LeaseNonce {
         self.last_nonce = LeaseNonce(self.last_nonce.0.wrapping_add(1));
         if self.renewals.len() == MAX_PENDING_RENEWALS {
             self.renewals.remove(0);
@@ -55,7 +55,7 @@
     ///
     /// The lease starts when the request was made, on the local clock. However long the reply was
     /// delayed, the entry never holds the lease longer than the leader assumes.
-    pub fn granted(&mut self, nonce: LeaseNonce, terms: LeaseTerms) -> bool {
+    pub fn accept_grant(&mut self, nonce: LeaseNonce, terms: LeaseTerms) -> bool {
         let Some(position) = self.renewals.iter().position(|(renewal, _)| *renewal == nonce) else {
             return false;
         };
@@ -67,9 +67,9 @@
     }
 
     /// Times at which the lease expires; `None` before the first grant.
-    pub fn window(&self) -> Option<RulesWindow> {
+    pub fn window(&self) -> Option<LeaseWindow> {
         let (requested_at, terms) = self.confirmed?;
-        Some(RulesWindow {
+        Some(LeaseWindow {
             confirmed_until: requested_at.after(terms.confirmed()),
             usable_until: terms.usable().map(|usable| requested_at.after(usable)),
         })
@@ -83,14 +83,14 @@
 
 /// Until when an entry may decide under its current rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RulesWindow {
+pub struct LeaseWindow {
     /// Expiry of the lease.
     pub confirmed_until: TimePoint,
     /// Time until which the rules may be used after expiry; `None` for no limit.
     pub usable_until: Option<TimePoint>,
 }
 
-impl RulesWindow {
+impl LeaseWindow {
     /// Whether the entry may decide at `now`.
     pub fn state(&self, now: TimePoint) -> HolderState {
         if now < self.confirmed_until {
--- a/crates/control/src/state/groups.rs
+++ b/crates/control/src/state/groups.rs
@@ -52,14 +52,14 @@
     }
 
     /// The binding of `host`; a default one if the host never belonged to a group.
-    pub fn seat(&self, host: &HostName) -> HostBinding {
+    pub fn binding(&self, host: &HostName) -> HostBinding {
         self.seats.get(host).cloned().unwrap_or_default()
     }
 
     /// Forms a group unless one of its hosts belongs to another one.
     pub fn form(&mut self, proposal: &GroupProposal) -> CommandOutcome {
         for member in &proposal.members {
-            if let Some(group) = self.seat(&member.host).group {
+            if let Some(group) = self.binding(&member.host).group {
                 return CommandOutcome::HostTaken { host: member.host.clone(), group };
             }
         }
@@ -94,7 +94,7 @@
             return CommandOutcome::GroupUnknown { group };
         }
         for member in &proposal.members {
-            match self.seat(&member.host).group {
+            match self.binding(&member.host).group {
                 Some(holder) if holder != group => {
                     return CommandOutcome::HostTaken { host: member.host.clone(), group: holder };
                 }
--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -88,7 +88,7 @@
 impl StorageError {
     /// Whether the contents make the folder unusable; after other errors it may open unchanged
     /// later.
-    pub fn blames_contents(&self) -> bool {
+    pub fn is_unusable_contents(&self) -> bool {
         match self {
             Self::Damaged { .. } | Self::OtherNode { .. } | Self::OtherMembers { .. } => true,
             Self::Locked { .. }
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -292,9 +292,9 @@
         source: io::Error::from(io::ErrorKind::StorageFull),
     };
 
-    assert!(!locked.expect_err("it is locked").blames_contents());
-    assert!(damaged.expect_err("it is damaged").blames_contents());
-    assert!(!full.blames_contents());
+    assert!(!locked.expect_err("it is locked").is_unusable_contents());
+    assert!(damaged.expect_err("it is damaged").is_unusable_contents());
+    assert!(!full.is_unusable_contents());
 }
 
 #[test]
