--- a/crates/placement/src/accounting.rs
+++ b/crates/placement/src/accounting.rs
@@ -201,8 +201,8 @@
 }
 
 fn place_of(host: &HostView) -> (&ServiceName, &ProviderName, &DomainName) {
-    let said = &host.announcement;
-    (&said.service, &said.provider, &said.domain)
+    let announcement = &host.announcement;
+    (&announcement.service, &announcement.provider, &announcement.domain)
 }
 
 fn count_places(view: &FleetView) -> Vec<PlaceCount<'_>> {
@@ -281,7 +281,7 @@
         .map(|(group, _)| group)
         .collect();
     let slow = if rules.cross_domain {
-        serving.iter().filter(|group| crosses(view, group)).count()
+        serving.iter().filter(|group| crosses_domains(view, group)).count()
     } else {
         0
     };
@@ -319,7 +319,7 @@
     (possible, accelerators, own.iter().map(|place| place.hosts).sum())
 }
 
-fn crosses(view: &FleetView, group: &GroupView) -> bool {
+fn crosses_domains(view: &FleetView, group: &GroupView) -> bool {
     let domain = |host: &HostName| view.hosts.get(host).map(|host| &host.announcement.domain);
     let mut domains = group.members.iter().filter_map(domain);
     let first = domains.next();
--- a/crates/placement/src/lease/gate.rs
+++ b/crates/placement/src/lease/gate.rs
@@ -1,4 +1,4 @@
-//! The first host's side: which members' leases are held, and until when.
+//! Admission gate at the first host of a group: the lease held from each member, with its expiry.
 
 use std::time::Duration;
 
@@ -8,7 +8,9 @@
 
 use super::DRIFT_MARGIN;
 
-/// Leases of one group, as its first host holds them.
+/// The leases that the first host of one group holds from the members.
+///
+/// The first host admits requests while the gate is whole, which means that all leases are held.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupGate {
     group: GroupId,
@@ -17,44 +19,46 @@
 }
 
 impl GroupGate {
-    /// A gate for `assignment` with no lease held.
+    /// Creates the gate for `assignment`, with no lease held.
     pub fn new(assignment: &GroupAssignment) -> Self {
         let leases = assignment.members.iter().map(|member| (member.host.clone(), None)).collect();
         Self { group: assignment.group, fencing: assignment.fencing, leases }
     }
 
-    /// The group.
+    /// Group whose leases are held.
     pub fn group(&self) -> GroupId {
         self.group
     }
 
-    /// Its fencing number.
+    /// Fencing number of the group's assignment.
     pub fn fencing(&self) -> FencingNumber {
         self.fencing
     }
 
-    /// Records a lease of `member` that was asked for at `sent` and granted for `duration`.
+    /// Records that `member` granted a lease for `duration` in answer to a request sent at `sent`.
+    ///
+    /// The lease counts as held until `DRIFT_MARGIN` before its end. Never shortens a lease.
     pub fn record(&mut self, member: &HostName, sent: TimePoint, duration: Duration) {
-        let usable = duration.saturating_sub(DRIFT_MARGIN);
+        let usable_duration = duration.saturating_sub(DRIFT_MARGIN);
         if let Some(lease) = self.leases.get_mut(member) {
-            *lease = (*lease).max(Some(sent.after(usable)));
+            *lease = (*lease).max(Some(sent.after(usable_duration)));
         }
     }
 
-    /// Drops the lease of `member`: it refused, or its endpoint is down.
+    /// Drops the lease of `member`, which refused to renew it or whose endpoint is not ready.
     pub fn revoke(&mut self, member: &HostName) {
         if let Some(lease) = self.leases.get_mut(member) {
             *lease = None;
         }
     }
 
-    /// The moment until which every lease is held; `None` when one is missing.
+    /// Earliest expiry of all leases; `None` if a lease is missing.
     pub fn whole_until(&self) -> Option<TimePoint> {
-        let ends: Option<Vec<TimePoint>> = self.leases.values().copied().collect();
-        ends.and_then(|ends| ends.into_iter().min())
+        let expiries: Option<Vec<TimePoint>> = self.leases.values().copied().collect();
+        expiries.and_then(|expiries| expiries.into_iter().min())
     }
 
-    /// Whether every member's lease is held at `now`.
+    /// Whether the leases of all members are held at `now`.
     pub fn is_whole(&self, now: TimePoint) -> bool {
         self.whole_until().is_some_and(|until| now < until)
     }
--- a/crates/placement/src/lease/mod.rs
+++ b/crates/placement/src/lease/mod.rs
@@ -1,8 +1,9 @@
-//! Leases inside a group.
+//! Leases that the members of a group grant to its first host.
 //!
-//! The first host holds a lease from every member and admits requests only while it holds them
-//! all. The holder times a lease from the moment it sent the request, the member from the moment
-//! it answered, so the holder's view always ends first and no wall clocks are compared.
+//! The first host admits requests only while it holds an unexpired lease from every member; the
+//! group is then called whole. The holder measures a lease from when it sent the request, the
+//! member from when it answered, so the lease expires at the holder first and no clocks of two
+//! hosts are compared.
 
 mod gate;
 mod promise;
@@ -12,11 +13,11 @@
 
 use std::time::Duration;
 
-/// How long a member promises to stay in its group.
+/// Duration of a lease, during which a member joins no other group.
 pub const LEASE_DURATION: Duration = Duration::from_millis(2000);
 
-/// Part of a lease that the holder does not use, against clocks that run at different speeds.
+/// Subtracted from a lease at the holder, to allow for clocks that run at different rates.
 pub const DRIFT_MARGIN: Duration = Duration::from_millis(100);
 
-/// Time between renewals.
+/// Time between two requests for a lease from the same member.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/placement/src/lease/promise.rs
+++ b/crates/placement/src/lease/promise.rs
@@ -1,4 +1,4 @@
-//! A member's side: the one group it has promised to stay in.
+//! Lease granter at a member: promises one group at a time to stay in it.
 
 use std::time::Duration;
 
@@ -7,78 +7,84 @@
 
 use super::LEASE_DURATION;
 
-/// Answer to a request for a lease.
+/// Answer of a member to a request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PromiseDecision {
-    /// The promise holds for this long from now.
+    /// The lease is granted for this duration from now.
     Granted(Duration),
-    /// Not granted; the member knows this fencing number.
+    /// The lease is refused; carries the highest fencing number that the member has seen.
     Refused(FencingNumber),
 }
 
-/// The promise of one host to one group at a time.
+/// State of a member that grants leases to the first host of at most one group at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostPromise {
     assigned: Option<(GroupId, FencingNumber)>,
-    highest: FencingNumber,
+    highest_fencing: FencingNumber,
     promised: Option<(GroupId, FencingNumber, TimePoint)>,
-    closed_until: TimePoint,
+    refuse_until: TimePoint,
 }
 
 impl HostPromise {
-    /// A host whose agent started at `now` without memory of earlier promises.
+    /// Creates the state of an agent that started at `now` and knows of no earlier lease.
     ///
-    /// An agent that restarts may have promised just before; granting at once would put the host
-    /// into two groups. It waits out the longest promise instead.
+    /// The agent may have granted a lease just before it restarted, and granting another at once
+    /// could put the host into two groups. All requests are refused until such a lease has expired.
     pub fn new(now: TimePoint) -> Self {
         Self {
             assigned: None,
-            highest: FencingNumber::default(),
+            highest_fencing: FencingNumber::default(),
             promised: None,
-            closed_until: now.after(LEASE_DURATION),
+            refuse_until: now.after(LEASE_DURATION),
         }
     }
 
-    /// Takes an assignment from control; `false` when it is older than one already known.
+    /// Applies an assignment from control; returns `false` and ignores it if its fencing number is
+    /// lower than the highest one seen.
     pub fn assign(&mut self, group: GroupId, fencing: FencingNumber) -> bool {
-        if fencing < self.highest {
+        if fencing < self.highest_fencing {
             return false;
         }
-        self.highest = fencing;
+        self.highest_fencing = fencing;
         self.assigned = Some((group, fencing));
         true
     }
 
-    /// Takes notice from control that the host is free; `false` when the notice is old.
+    /// Applies a notice from control that the host belongs to no group; returns `false` and ignores
+    /// it if its fencing number is lower than the highest one seen.
     pub fn free(&mut self, fencing: FencingNumber) -> bool {
-        if fencing < self.highest {
+        if fencing < self.highest_fencing {
             return false;
         }
-        self.highest = fencing;
+        self.highest_fencing = fencing;
         self.assigned = None;
         true
     }
 
     /// Highest fencing number seen.
-    pub fn highest(&self) -> FencingNumber {
-        self.highest
+    pub fn highest_fencing(&self) -> FencingNumber {
+        self.highest_fencing
     }
 
-    /// Decides on a lease for `group` at `fencing`, asked for by its first host.
+    /// Answers a request for a lease from the first host of `group`.
+    ///
+    /// Grants it if the host is assigned to `group` with `fencing`, and no lease to another group
+    /// or from before a restart may still be in force.
     pub fn grant(
         &mut self,
         now: TimePoint,
         group: GroupId,
         fencing: FencingNumber,
     ) -> PromiseDecision {
-        let refused = PromiseDecision::Refused(self.highest);
-        if self.assigned != Some((group, fencing)) || now < self.closed_until {
+        let refused = PromiseDecision::Refused(self.highest_fencing);
+        if self.assigned != Some((group, fencing)) || now < self.refuse_until {
             return refused;
         }
-        let bound_elsewhere = self
-            .promised
-            .is_some_and(|(held, number, until)| (held, number) != (group, fencing) && now < until);
-        if bound_elsewhere {
+        let promised_elsewhere =
+            self.promised.is_some_and(|(other_group, other_fencing, until)| {
+                (other_group, other_fencing) != (group, fencing) && now < until
+            });
+        if promised_elsewhere {
             return refused;
         }
         self.promised = Some((group, fencing, now.after(LEASE_DURATION)));
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,5 +1,8 @@
-//! Groups of hosts: the leases that keep a group whole or closed, the planner that forms and
-//! mends groups, the account of what is down and stranded, and replay of recorded events.
+//! Placement of replicas on groups of hosts.
+//!
+//! `lease` decides when a group may serve, `planner` forms, repairs and dissolves groups,
+//! `accounting` integrates group downtime and stranded accelerators, and `replay` runs recorded or
+//! generated host events through all of them.
 
 pub mod accounting;
 pub mod lease;
--- a/crates/placement/src/planner/absence.rs
+++ b/crates/placement/src/planner/absence.rs
@@ -6,147 +6,191 @@
 use briartray_model::rules::PlaceAction;
 
 /// Upper ends of the buckets, in seconds; what lies beyond the last counts as gone for good.
-const BUCKET_ENDS: [f64; 13] =
-    [2.0, 5.0, 10.0, 20.0, 40.0, 80.0, 160.0, 320.0, 640.0, 1280.0, 2560.0, 5120.0, GONE_SECONDS];
+const BUCKET_END_SECONDS: [f64; 13] = [
+    2.0,
+    5.0,
+    10.0,
+    20.0,
+    40.0,
+    80.0,
+    160.0,
+    320.0,
+    640.0,
+    1280.0,
+    2560.0,
+    5120.0,
+    PERMANENT_LOSS_SECONDS,
+];
 
 /// An absence longer than this counts as gone for good, in seconds.
-pub(super) const GONE_SECONDS: f64 = 7200.0;
+pub(super) const PERMANENT_LOSS_SECONDS: f64 = 7200.0;
 
 /// How many observations the prior is worth.
 const PRIOR_WEIGHT: f64 = 20.0;
 
 /// Counts are halved past this total, so that the model follows a fleet that changes.
-const FORGET_TOTAL: f64 = 2000.0;
+const DECAY_TOTAL: f64 = 2000.0;
 
 /// Absences up to this length are taken for restarts of a process that leave weights loaded.
-const KEPT_SECONDS: f64 = 40.0;
+const WEIGHTS_KEPT_SECONDS: f64 = 40.0;
 
-const BUCKETS: usize = BUCKET_ENDS.len();
+const BUCKET_COUNT: usize = BUCKET_END_SECONDS.len();
 
 /// What waiting for a missing host is expected to cost, in seconds of the group being down.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WaitEstimate {
     /// Seconds down when waiting for the best time and replacing then.
-    pub wait_seconds: f64,
+    pub expected_down_seconds: f64,
     /// How much longer to wait at most; zero when replacing now is best.
-    pub patience_seconds: f64,
+    pub max_wait_seconds: f64,
 }
 
 /// Observed absences by length.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AbsenceModel {
-    returned: [f64; BUCKETS],
-    kept: [f64; BUCKETS],
-    gone: f64,
+    returned: [f64; BUCKET_COUNT],
+    returned_with_weights: [f64; BUCKET_COUNT],
+    permanent_losses: f64,
 }
 
 /// One bucket as seen by a host that has already been away for a while.
 #[derive(Debug, Clone, Copy)]
-struct OpenBucket {
+struct RemainingBucket {
     start: f64,
     end: f64,
     mass: f64,
-    reload: f64,
+    reload_share: f64,
 }
 
 impl AbsenceModel {
     /// Takes note of a host that came back after `seconds`.
     pub fn record_return(&mut self, seconds: f64, weights_kept: bool) {
-        if seconds >= GONE_SECONDS {
-            return self.record_gone();
+        if seconds >= PERMANENT_LOSS_SECONDS {
+            return self.record_permanent_loss();
         }
-        let bucket = BUCKET_ENDS.partition_point(|end| *end <= seconds).min(BUCKETS - 1);
+        let bucket =
+            BUCKET_END_SECONDS.partition_point(|end| *end <= seconds).min(BUCKET_COUNT - 1);
         self.returned[bucket] += 1.0;
         if weights_kept {
-            self.kept[bucket] += 1.0;
+            self.returned_with_weights[bucket] += 1.0;
         }
-        self.forget();
+        self.decay();
     }
 
     /// Takes note of a host that is gone for good.
-    pub fn record_gone(&mut self) {
-        self.gone += 1.0;
-        self.forget();
+    pub fn record_permanent_loss(&mut self) {
+        self.permanent_losses += 1.0;
+        self.decay();
     }
 
-    /// Weighs waiting against replacing, for a host that has been away for `elapsed` seconds.
+    /// Weighs waiting against replacing, for a host that has been away for `elapsed_seconds` seconds.
     ///
-    /// `load` is the time to load one host, `replace` the time that a replacement made now or
+    /// `load_seconds` is the time to load one host, `replace_seconds` the time that a replacement made now or
     /// later keeps the group down.
-    pub fn weigh(
+    pub fn estimate_wait(
         &self,
         rules: &PlaceAction,
-        elapsed: f64,
-        load: f64,
-        replace: f64,
+        elapsed_seconds: f64,
+        load_seconds: f64,
+        replace_seconds: f64,
     ) -> WaitEstimate {
-        let (buckets, gone) = self.open_buckets(rules, elapsed);
-        let total = gone + buckets.iter().map(|bucket| bucket.mass).sum::<f64>();
-        let mut best = WaitEstimate { wait_seconds: replace, patience_seconds: 0.0 };
+        let (buckets, permanent_losses) = self.remaining_buckets(rules, elapsed_seconds);
+        let total = permanent_losses + buckets.iter().map(|bucket| bucket.mass).sum::<f64>();
+        let mut best =
+            WaitEstimate { expected_down_seconds: replace_seconds, max_wait_seconds: 0.0 };
         if total <= 0.0 {
             return best;
         }
-        let mut spent = 0.0;
-        let mut left = total;
+        let mut accumulated_cost = 0.0;
+        let mut remaining_mass = total;
         for bucket in &buckets {
-            let middle = (bucket.start + bucket.end) / 2.0 - elapsed;
-            spent += bucket.mass * (middle + bucket.reload * load);
-            left -= bucket.mass;
-            let patience = bucket.end - elapsed;
-            let cost = (spent + left * (patience + replace)) / total;
-            if cost < best.wait_seconds {
-                best = WaitEstimate { wait_seconds: cost, patience_seconds: patience };
+            let mean_remaining = (bucket.start + bucket.end) / 2.0 - elapsed_seconds;
+            accumulated_cost += bucket.mass * (mean_remaining + bucket.reload_share * load_seconds);
+            remaining_mass -= bucket.mass;
+            let max_wait = bucket.end - elapsed_seconds;
+            let cost = (accumulated_cost + remaining_mass * (max_wait + replace_seconds)) / total;
+            if cost < best.expected_down_seconds {
+                best = WaitEstimate { expected_down_seconds: cost, max_wait_seconds: max_wait };
             }
         }
         best
     }
 
     /// Expected seconds until the group is whole again when nothing but waiting is possible.
-    pub fn expected_wait(&self, rules: &PlaceAction, elapsed: f64, load: f64) -> f64 {
-        let (buckets, gone) = self.open_buckets(rules, elapsed);
-        let total = gone + buckets.iter().map(|bucket| bucket.mass).sum::<f64>();
-        let spent: f64 = buckets
+    pub fn expected_wait(
+        &self,
+        rules: &PlaceAction,
+        elapsed_seconds: f64,
+        load_seconds: f64,
+    ) -> f64 {
+        let (buckets, permanent_losses) = self.remaining_buckets(rules, elapsed_seconds);
+        let total = permanent_losses + buckets.iter().map(|bucket| bucket.mass).sum::<f64>();
+        let accumulated_cost: f64 = buckets
             .iter()
-            .map(|b| b.mass * ((b.start + b.end) / 2.0 - elapsed + b.reload * load))
+            .map(|bucket| {
+                bucket.mass
+                    * ((bucket.start + bucket.end) / 2.0 - elapsed_seconds
+                        + bucket.reload_share * load_seconds)
+            })
             .sum();
-        if total <= 0.0 { GONE_SECONDS } else { (spent + gone * GONE_SECONDS) / total }
+        if total <= 0.0 {
+            PERMANENT_LOSS_SECONDS
+        } else {
+            (accumulated_cost + permanent_losses * PERMANENT_LOSS_SECONDS) / total
+        }
     }
 
-    /// What is left of the histogram after `elapsed` seconds, and the mass of hosts that are gone.
-    fn open_buckets(&self, rules: &PlaceAction, elapsed: f64) -> (Vec<OpenBucket>, f64) {
-        let returns = f64::from(rules.return_percent.min(100)) / 100.0;
-        let restart = rules.restart_ms as f64 / 1000.0;
+    /// What is left of the histogram after `elapsed_seconds` seconds, and the mass of hosts that are gone.
+    fn remaining_buckets(
+        &self,
+        rules: &PlaceAction,
+        elapsed_seconds: f64,
+    ) -> (Vec<RemainingBucket>, f64) {
+        let return_share = f64::from(rules.return_percent.min(100)) / 100.0;
+        let restart_seconds = rules.restart_ms as f64 / 1000.0;
         let mut start = 0.0;
-        let mut open = Vec::with_capacity(BUCKETS);
-        for (index, end) in BUCKET_ENDS.into_iter().enumerate() {
-            if end > elapsed {
-                let prior = PRIOR_WEIGHT * returns * prior_share(start, end, restart);
-                let whole = prior + self.returned[index];
-                let from = f64::max(start, elapsed);
-                let kept_prior = if end <= KEPT_SECONDS { prior } else { 0.0 };
-                let kept = if whole > 0.0 { (self.kept[index] + kept_prior) / whole } else { 0.0 };
-                let mass = whole * (end - from) / (end - start);
-                open.push(OpenBucket { start: from, end, mass, reload: 1.0 - kept });
+        let mut remaining = Vec::with_capacity(BUCKET_COUNT);
+        for (index, end) in BUCKET_END_SECONDS.into_iter().enumerate() {
+            if end > elapsed_seconds {
+                let prior = PRIOR_WEIGHT * return_share * prior_share(start, end, restart_seconds);
+                let returns = prior + self.returned[index];
+                let remaining_start = f64::max(start, elapsed_seconds);
+                let prior_with_weights = if end <= WEIGHTS_KEPT_SECONDS { prior } else { 0.0 };
+                let kept_share = if returns > 0.0 {
+                    (self.returned_with_weights[index] + prior_with_weights) / returns
+                } else {
+                    0.0
+                };
+                let mass = returns * (end - remaining_start) / (end - start);
+                remaining.push(RemainingBucket {
+                    start: remaining_start,
+                    end,
+                    mass,
+                    reload_share: 1.0 - kept_share,
+                });
             }
             start = end;
         }
-        (open, PRIOR_WEIGHT * (1.0 - returns) + self.gone)
+        (remaining, PRIOR_WEIGHT * (1.0 - return_share) + self.permanent_losses)
     }
 
-    fn forget(&mut self) {
-        let total = self.gone + self.returned.iter().sum::<f64>();
-        if total > FORGET_TOTAL {
-            self.gone /= 2.0;
-            self.returned.iter_mut().chain(&mut self.kept).for_each(|count| *count /= 2.0);
+    fn decay(&mut self) {
+        let total = self.permanent_losses + self.returned.iter().sum::<f64>();
+        if total > DECAY_TOTAL {
+            self.permanent_losses /= 2.0;
+            self.returned
+                .iter_mut()
+                .chain(&mut self.returned_with_weights)
+                .for_each(|count| *count /= 2.0);
         }
     }
 }
 
 /// Prior share of returns in one bucket: half are processes that restart within seconds, half
 /// are hosts that take between half of and twice the usual restart time.
-fn prior_share(start: f64, end: f64, restart: f64) -> f64 {
+fn prior_share(start: f64, end: f64, restart_seconds: f64) -> f64 {
     let overlap = |low: f64, high: f64| (end.min(high) - start.max(low)).max(0.0) / (high - low);
-    let quick = overlap(0.0, KEPT_SECONDS);
-    let slow = overlap(restart * 0.5, (restart * 2.0).max(1.0));
-    0.5 * quick + 0.5 * slow
+    let process_restarts = overlap(0.0, WEIGHTS_KEPT_SECONDS);
+    let host_restarts = overlap(restart_seconds * 0.5, (restart_seconds * 2.0).max(1.0));
+    0.5 * process_restarts + 0.5 * host_restarts
 }
--- a/crates/placement/src/planner/capacity.rs
+++ b/crates/placement/src/planner/capacity.rs
@@ -5,51 +5,52 @@
 
 use briartray_model::names::HostName;
 
-use super::group_planner::RoundFrame;
+use super::group_planner::RoundContext;
 use super::reason::PlanReason;
-use super::service::{GroupFate, ServicePlan};
+use super::service::{GroupDisposition, ServicePlan};
 
 impl ServicePlan<'_> {
     /// Takes note that a group was put in the place of another in this round.
-    pub(super) fn mended(&mut self) {
+    pub(super) fn count_successor(&mut self) {
         self.successors += 1;
     }
 
     /// Groups that count as replicas: those kept and those that this round put in place of others.
-    fn kept(&self) -> usize {
-        self.successors + self.count(|fate| fate == GroupFate::Keep)
+    fn replica_count(&self) -> usize {
+        self.successors + self.count_groups(|disposition| disposition == GroupDisposition::Keep)
     }
 
     /// Forms groups for replicas that are missing, and ahead of groups that are to make way.
-    pub(super) fn fill_up(&mut self, frame: &mut RoundFrame<'_>) {
-        let mut lacking = self.wanted().saturating_sub(self.kept());
-        self.held = self.held_back();
+    pub(super) fn form_missing(&mut self, context: &mut RoundContext<'_>) {
+        let mut lacking = self.wanted().saturating_sub(self.replica_count());
+        self.reserved_spares = self.reserved_by_place();
         if lacking == 0 {
-            return self.stand_by(frame);
+            return self.form_standby(context);
         }
-        let moves = self.moves(frame);
-        let plain = lacking.saturating_sub(moves.len());
-        for _ in 0..plain {
-            let formed = self.form_one(frame, PlanReason::MissingReplica, usize::MAX)
-                || self.form_across(frame);
+        let superseded = self.superseded(context);
+        let without_predecessor = lacking.saturating_sub(superseded.len());
+        for _ in 0..without_predecessor {
+            let formed = self.form_group(context, PlanReason::MissingReplica, usize::MAX)
+                || self.form_across_domains(context);
             if !formed {
                 break;
             }
         }
-        lacking -= plain;
-        for (reason, rank) in moves.into_iter().take(lacking) {
-            self.form_one(frame, reason, rank);
+        lacking -= without_predecessor;
+        for (reason, rank) in superseded.into_iter().take(lacking) {
+            self.form_group(context, reason, rank);
         }
     }
 
     /// Forms groups that nobody misses yet, as far as the rules ask for them.
     ///
     /// The hosts are idle anyway; loaded, they take over the moment a group fails.
-    fn stand_by(&mut self, frame: &mut RoundFrame<'_>) {
-        let most = self.wanted() + self.rules.standby as usize;
-        let moving = self.count(|fate| matches!(fate, GroupFate::Move(_)));
-        while self.kept() + moving + self.formed < most {
-            if !self.form_one(frame, PlanReason::StandbyReplica, usize::MAX) {
+    fn form_standby(&mut self, context: &mut RoundContext<'_>) {
+        let max_groups = self.wanted() + self.rules.standby as usize;
+        let superseded_groups =
+            self.count_groups(|disposition| matches!(disposition, GroupDisposition::Supersede(_)));
+        while self.replica_count() + superseded_groups + self.formed < max_groups {
+            if !self.form_group(context, PlanReason::StandbyReplica, usize::MAX) {
                 return;
             }
         }
@@ -57,64 +58,76 @@
 
     /// Groups that need a successor, the most urgent first, with the provider rank that the
     /// successor has to stay below.
-    fn moves(&self, frame: &RoundFrame<'_>) -> Vec<(PlanReason, usize)> {
-        let mut moves: Vec<(bool, PlanReason, usize)> = (0..self.groups.len())
-            .filter_map(|at| match self.fates[at] {
-                GroupFate::Move(reason) => Some((at, reason)),
+    fn superseded(&self, context: &RoundContext<'_>) -> Vec<(PlanReason, usize)> {
+        let mut superseded: Vec<(bool, PlanReason, usize)> = (0..self.groups.len())
+            .filter_map(|slot| match self.dispositions[slot] {
+                GroupDisposition::Supersede(reason) => Some((slot, reason)),
                 _ => None,
             })
-            .map(|(at, reason)| {
-                let survey = &frame.survey.groups[self.groups[at]];
+            .map(|(slot, reason)| {
+                let survey = &context.survey.groups[self.groups[slot]];
                 let rank = match reason {
                     PlanReason::ProviderPreferred => {
-                        survey.anchor.map_or(usize::MAX, |said| self.provider_rank(&said.provider))
+                        survey.present_member.map_or(usize::MAX, |announcement| {
+                            self.provider_rank(&announcement.provider)
+                        })
                     }
                     _ => usize::MAX,
                 };
                 (survey.serves(), reason, rank)
             })
             .collect();
-        moves.sort();
-        moves.into_iter().map(|(_, reason, rank)| (reason, rank)).collect()
+        superseded.sort();
+        superseded.into_iter().map(|(_, reason, rank)| (reason, rank)).collect()
     }
 
-    fn form_one(
+    fn form_group(
         &mut self,
-        frame: &mut RoundFrame<'_>,
+        context: &mut RoundContext<'_>,
         reason: PlanReason,
         below_rank: usize,
     ) -> bool {
         let size = self.size();
         // The successor of a group is a repair itself.
-        let extra = [PlanReason::MissingReplica, PlanReason::StandbyReplica];
-        let repairs = !extra.contains(&reason);
-        let held = |at: usize| if repairs { 0 } else { self.held[at] };
+        let additions = [PlanReason::MissingReplica, PlanReason::StandbyReplica];
+        let is_repair = !additions.contains(&reason);
+        let reserved =
+            |place_index: usize| if is_repair { 0 } else { self.reserved_spares[place_index] };
         let best = (0..self.pool.places.len())
-            .filter(|at| self.pool.places[*at].len() >= size + held(*at))
-            .map(|at| (self.provider_rank(self.pool.places[at].provider), at))
+            .filter(|place_index| {
+                self.pool.places[*place_index].len() >= size + reserved(*place_index)
+            })
+            .map(|place_index| {
+                (self.provider_rank(self.pool.places[place_index].provider), place_index)
+            })
             .filter(|(rank, _)| *rank < below_rank)
-            .min_by_key(|(rank, at)| (*rank, Reverse(self.pool.places[*at].len())));
-        let Some((_, at)) = best else { return false };
-        let picked = self.pool.places[at].pick_set(size);
-        let loads = frame.memory.loads_for(&self.pool.places[at].names(&picked));
-        if !self.has_room(frame, loads) {
+            .min_by_key(|(rank, place_index)| {
+                (*rank, Reverse(self.pool.places[*place_index].len()))
+            });
+        let Some((_, place_index)) = best else { return false };
+        let picked = self.pool.places[place_index].pick_members(size);
+        let loads = context.memory.loads_needed(&self.pool.places[place_index].names(&picked));
+        if !self.has_load_capacity(context, loads) {
             return false;
         }
-        let members = self.pool.places[at].take(&picked);
-        self.form(frame, reason, members);
+        let members = self.pool.places[place_index].take(&picked);
+        self.form(context, reason, members);
         true
     }
 
     /// Hosts of each place that the rules keep for repairs.
-    fn held_back(&self) -> Vec<usize> {
+    fn reserved_by_place(&self) -> Vec<usize> {
         let places = self.pool.places.iter();
         places.map(|place| self.rules_at(place.zone, place.provider).spares as usize).collect()
     }
 
     /// Forms a group over several fabric domains of one provider, the last resort.
-    fn form_across(&mut self, frame: &mut RoundFrame<'_>) -> bool {
+    fn form_across_domains(&mut self, context: &mut RoundContext<'_>) -> bool {
         let size = self.size();
-        if !self.rules.cross_domain || !self.has_room(frame, size) || self.expects_return(frame) {
+        if !self.rules.cross_domain
+            || !self.has_load_capacity(context, size)
+            || self.awaits_return(context)
+        {
             return false;
         }
         let provider = self
@@ -131,64 +144,69 @@
         let mut members = Vec::with_capacity(size);
         for pool in pools {
             let count = pool.len().min(size - members.len());
-            members.extend(pool.take(&pool.pick_set(count)));
+            members.extend(pool.take(&pool.pick_members(count)));
         }
-        self.form(frame, PlanReason::CrossDomain, members);
+        self.form(context, PlanReason::CrossDomain, members);
         true
     }
 
     /// Whether a host of this service vanished so recently that it is still waited for.
-    fn expects_return(&self, frame: &RoundFrame<'_>) -> bool {
+    fn awaits_return(&self, context: &RoundContext<'_>) -> bool {
         let limit = Duration::from_millis(self.rules.wait_ms);
-        frame
+        context
             .survey
             .absent
             .iter()
             .filter(|host| host.announcement.service == self.service.name)
-            .any(|host| frame.now.since(host.since) < limit)
+            .any(|host| context.now.since(host.since) < limit)
     }
 
-    fn form(&mut self, frame: &mut RoundFrame<'_>, reason: PlanReason, members: Vec<HostName>) {
-        let load = self.load_seconds(frame, members.len());
-        let cost = load * self.worth(0.0);
-        frame.form(&self.service.name, members);
+    fn form(&mut self, context: &mut RoundContext<'_>, reason: PlanReason, members: Vec<HostName>) {
+        let load = self.load_seconds(context, members.len());
+        let cost = load * self.downtime_cost_rate(0.0);
+        context.form(&self.service.name, members);
         self.formed += 1;
-        frame.decide(&self.service.name, None, reason, (cost, None));
+        context.record_decision(&self.service.name, None, reason, (cost, None));
     }
 
     /// Ends groups whose successors serve, and groups beyond the wanted number.
-    pub(super) fn let_go(&mut self, frame: &mut RoundFrame<'_>) {
-        for at in 0..self.groups.len() {
-            if matches!(self.fates[at], GroupFate::Move(_)) && self.is_spare(frame, at) {
-                self.end(frame, at);
+    pub(super) fn dissolve_unneeded(&mut self, context: &mut RoundContext<'_>) {
+        for slot in 0..self.groups.len() {
+            if matches!(self.dispositions[slot], GroupDisposition::Supersede(_))
+                && self.is_expendable(context, slot)
+            {
+                self.dissolve_group(context, slot);
             }
         }
-        self.drop_surplus(frame);
-        self.roll_sizes(frame);
+        self.dissolve_surplus(context);
+        self.dissolve_for_resize(context);
     }
 
     /// Whether enough groups serve without this one.
-    fn is_spare(&self, frame: &RoundFrame<'_>, at: usize) -> bool {
-        let serves = frame.survey.groups[self.groups[at]].serves();
-        self.serving(frame) >= self.wanted() + usize::from(serves)
+    fn is_expendable(&self, context: &RoundContext<'_>, slot: usize) -> bool {
+        let serves = context.survey.groups[self.groups[slot]].serves();
+        self.serving(context) >= self.wanted() + usize::from(serves)
     }
 
     /// Ends the least useful groups beyond the wanted number.
     ///
     /// Only as many candidates as there are too many are looked at: when the least useful group
     /// still serves in place of its successor, the successor must not go instead of it.
-    fn drop_surplus(&mut self, frame: &mut RoundFrame<'_>) {
-        let most = self.wanted() + self.rules.standby as usize;
-        let excess = self.kept().saturating_sub(most);
+    fn dissolve_surplus(&mut self, context: &mut RoundContext<'_>) {
+        let max_groups = self.wanted() + self.rules.standby as usize;
+        let excess = self.replica_count().saturating_sub(max_groups);
         if excess == 0 {
             return;
         }
-        let mut order: Vec<usize> =
-            (0..self.groups.len()).filter(|at| self.fates[*at] == GroupFate::Keep).collect();
-        order.sort_by_key(|at| {
-            let survey = &frame.survey.groups[self.groups[*at]];
-            let rank = survey.anchor.map_or(usize::MAX, |said| self.provider_rank(&said.provider));
-            let crosses = self.crossing_members(frame, self.groups[*at]).is_some();
+        let mut order: Vec<usize> = (0..self.groups.len())
+            .filter(|slot| self.dispositions[*slot] == GroupDisposition::Keep)
+            .collect();
+        order.sort_by_key(|slot| {
+            let survey = &context.survey.groups[self.groups[*slot]];
+            let rank = survey
+                .present_member
+                .map_or(usize::MAX, |announcement| self.provider_rank(&announcement.provider));
+            let crosses = self.crossing_members(context, self.groups[*slot]).is_some();
             let state = match (survey.serves(), survey.missing.is_empty()) {
                 (true, _) => 2,
                 (false, true) => 1,
@@ -196,31 +214,34 @@
             };
             (Reverse(rank), Reverse(crosses), state, Reverse(survey.group.group))
         });
-        for at in order.into_iter().take(excess) {
-            if self.is_spare(frame, at) {
-                self.end(frame, at);
+        for slot in order.into_iter().take(excess) {
+            if self.is_expendable(context, slot) {
+                self.dissolve_group(context, slot);
             }
         }
     }
 
     /// Makes room for groups of another size, one at a time, when no hosts are free for them.
-    fn roll_sizes(&mut self, frame: &mut RoundFrame<'_>) {
+    fn dissolve_for_resize(&mut self, context: &mut RoundContext<'_>) {
         let size = self.size();
-        let wrong = |at: &usize| self.fates[*at] == GroupFate::Move(PlanReason::NotDeclared);
-        let all_serve = self.serving(frame) == self.count(|fate| fate != GroupFate::Ended);
-        let room = self.pool.places.iter().any(|place| place.len() >= size);
+        let wrong_size = |slot: &usize| {
+            self.dispositions[*slot] == GroupDisposition::Supersede(PlanReason::NotDeclared)
+        };
+        let all_serve = self.serving(context)
+            == self.count_groups(|disposition| disposition != GroupDisposition::Handled);
+        let can_form = self.pool.places.iter().any(|place| place.len() >= size);
         if all_serve
-            && !room
-            && let Some(at) = (0..self.groups.len()).rev().find(wrong)
+            && !can_form
+            && let Some(slot) = (0..self.groups.len()).rev().find(wrong_size)
         {
-            self.end(frame, at);
+            self.dissolve_group(context, slot);
         }
     }
 
-    fn end(&mut self, frame: &mut RoundFrame<'_>, at: usize) {
-        let group = frame.survey.groups[self.groups[at]].group.group;
-        frame.dissolve(self.groups[at]);
-        self.fates[at] = GroupFate::Ended;
-        frame.decide(&self.service.name, Some(group), PlanReason::Surplus, (0.0, None));
+    fn dissolve_group(&mut self, context: &mut RoundContext<'_>, slot: usize) {
+        let group = context.survey.groups[self.groups[slot]].group.group;
+        context.dissolve(self.groups[slot]);
+        self.dispositions[slot] = GroupDisposition::Handled;
+        context.record_decision(&self.service.name, Some(group), PlanReason::Surplus, (0.0, None));
     }
 }
--- a/crates/placement/src/planner/command.rs
+++ b/crates/placement/src/planner/command.rs
@@ -1,4 +1,4 @@
-//! Turning what a planner asks for into commands of the control log.
+//! Translates planner actions into commands of the control log.
 
 use briartray_control::state::{ControlCommand, GroupProposal};
 use briartray_model::message::GroupMember;
@@ -7,8 +7,8 @@
 
 use super::{FleetView, PlanAction};
 
-/// The command for one action; none when it changes no membership, or when a host or service has
-/// vanished meanwhile.
+/// Returns the command for `action`; `None` if the action changes no membership, or if one of its
+/// hosts or its service no longer exists.
 pub fn command_for(
     view: &FleetView,
     book: &RuleBook,
--- a/crates/placement/src/planner/first_come.rs
+++ b/crates/placement/src/planner/first_come.rs
@@ -25,14 +25,14 @@
 }
 
 fn form_missing(view: &FleetView, service: &ServiceDeclaration, actions: &mut Vec<PlanAction>) {
-    let have = view.groups.values().filter(|group| group.service == service.name).count();
-    let wanted = (service.replicas as usize).saturating_sub(have);
+    let existing = view.groups.values().filter(|group| group.service == service.name).count();
+    let wanted = (service.replicas as usize).saturating_sub(existing);
     let size = service.hosts_per_replica as usize;
     let mut free: Vec<&HostView> =
         view.hosts.values().filter(|host| is_free(host, service)).collect();
-    free.sort_by(|a, b| seat_key(a).cmp(&seat_key(b)));
-    let same_seat = |a: &&HostView, b: &&HostView| place(a) == place(b);
-    let sets = free.chunk_by(same_seat).flat_map(|run| run.chunks_exact(size.max(1)));
+    free.sort_by(|a, b| place_key(a).cmp(&place_key(b)));
+    let same_place = |a: &&HostView, b: &&HostView| place(a) == place(b);
+    let sets = free.chunk_by(same_place).flat_map(|run| run.chunks_exact(size.max(1)));
     for set in sets.take(wanted) {
         let members = set.iter().map(|host| host.announcement.host.clone()).collect();
         actions.push(PlanAction::Form { service: service.name.clone(), members });
@@ -50,6 +50,6 @@
     (&host.announcement.provider, &host.announcement.domain)
 }
 
-fn seat_key(host: &HostView) -> (&ProviderName, &DomainName, &HostName) {
+fn place_key(host: &HostView) -> (&ProviderName, &DomainName, &HostName) {
     (&host.announcement.provider, &host.announcement.domain, &host.announcement.host)
 }
--- a/crates/placement/src/planner/group_planner.rs
+++ b/crates/placement/src/planner/group_planner.rs
@@ -1,4 +1,4 @@
-//! The planner that weighs group downtime against stranded accelerators.
+//! The planner that minimizes the expected cost of group downtime and stranded accelerators.
 
 use std::time::Duration;
 
@@ -7,102 +7,102 @@
 use briartray_model::rules::{RuleBook, ServiceDeclaration};
 
 use super::memory::PlannerMemory;
-use super::pool::{FormerSeat, FreePool};
+use super::pool::{FormerMembership, FreePool};
 use super::reason::{PlanDecision, PlanReason};
 use super::service::ServicePlan;
-use super::survey::{FleetSurvey, of_service};
+use super::survey::{FleetSurvey, groups_of_service};
 use super::{FleetView, PlanAction};
 use crate::accounting::place_rules;
 
-/// A planner that has just begun leaves existing groups alone for this long.
+/// A planner does not change existing groups for this long after its first round.
 ///
-/// After a change of leader agents connect one by one; without the pause, members that have not
-/// connected yet would look lost and healthy groups would be taken apart.
-const SETTLE: Duration = Duration::from_secs(5);
+/// After a change of leader, agents connect one by one. Without the pause, members that have not
+/// connected yet would be taken for lost, and healthy groups would be dissolved.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
 
-/// What one round decided.
+/// Result of one planning round.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PlanRound {
-    /// What is to be done.
+    /// Actions to execute, in order.
     pub actions: Vec<PlanAction>,
-    /// Why, one entry for each action and each group that is waited for.
+    /// Reasons, one entry for each action and for each group that waits for a member.
     pub decisions: Vec<PlanDecision>,
-    /// When a waiting decision is due again, should nothing change before.
-    pub wake: Option<TimePoint>,
+    /// When to plan again even if nothing changes before.
+    pub replan_at: Option<TimePoint>,
 }
 
 impl PlanRound {
-    pub(super) fn decide(&mut self, decision: PlanDecision) {
+    pub(super) fn add_decision(&mut self, decision: PlanDecision) {
         self.decisions.push(decision);
     }
 
-    pub(super) fn wake_at(&mut self, when: TimePoint) {
-        self.wake = Some(self.wake.map_or(when, |wake| wake.min(when)));
+    pub(super) fn request_replan(&mut self, when: TimePoint) {
+        self.replan_at = Some(self.replan_at.map_or(when, |replan_at| replan_at.min(when)));
     }
 }
 
-/// Plans groups by expected cost and remembers what that takes.
+/// Plans groups by expected cost, and keeps the state that this needs between rounds.
 ///
-/// The default planner asks no host to load ahead.
+/// The default planner prepares no hosts: it returns no `PlanAction::Prepare`.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct GroupPlanner {
     started: Option<TimePoint>,
     memory: PlannerMemory,
-    loads_ahead: bool,
+    prepares_hosts: bool,
 }
 
-/// What the parts of one round share.
-pub(super) struct RoundFrame<'a> {
+/// State shared by the steps of one planning round.
+pub(super) struct RoundContext<'a> {
     pub(super) now: TimePoint,
     pub(super) view: &'a FleetView,
     pub(super) survey: &'a FleetSurvey<'a>,
     pub(super) memory: &'a mut PlannerMemory,
     pub(super) round: PlanRound,
-    /// Hosts that load weights, with those that this round has added.
-    pub(super) loads: usize,
+    /// Number of hosts that load weights, including those that start in this round.
+    pub(super) running_loads: usize,
     /// Whether existing groups may be changed.
     pub(super) settled: bool,
-    /// Whether hosts carry out `PlanAction::Prepare`.
-    pub(super) loads_ahead: bool,
+    /// Whether `PlanAction::Prepare` may be used.
+    pub(super) prepares_hosts: bool,
 }
 
-impl RoundFrame<'_> {
+impl RoundContext<'_> {
     pub(super) fn form(&mut self, service: &ServiceName, members: Vec<HostName>) {
-        self.loads += self.memory.remember_members(&members);
+        self.running_loads += self.memory.record_new_group(&members);
         self.round.actions.push(PlanAction::Form { service: service.clone(), members });
     }
 
-    pub(super) fn replace(&mut self, index: usize, members: Vec<HostName>) {
-        let group = self.survey.groups[index].group;
+    pub(super) fn replace(&mut self, survey_index: usize, members: Vec<HostName>) {
+        let group = self.survey.groups[survey_index].group;
         for (rank, host) in members.iter().enumerate() {
             let moves = group.members.get(rank) != Some(host);
             if moves && self.memory.ready_at(self.now, host, rank) != Some(self.now) {
-                self.memory.remember_member(host);
-                self.loads += 1;
+                self.memory.mark_unloaded(host);
+                self.running_loads += 1;
             }
         }
         for (rank, host) in group.members.iter().enumerate() {
             if !members.contains(host) {
-                self.memory.remember_seat(group.group, rank, host);
+                self.memory.record_former_member(group.group, rank, host);
             }
         }
         let service = group.service.clone();
         self.round.actions.push(PlanAction::Replace { group: group.group, service, members });
     }
 
-    /// Lets a free host load the weights of a position; returns when it should be ready.
+    /// Prepares a free host for `rank`, which takes `seconds`; returns when it should be ready.
     pub(super) fn prepare(
         &mut self,
-        index: usize,
+        survey_index: usize,
         rank: usize,
         host: &HostName,
         seconds: f64,
     ) -> TimePoint {
-        let group = self.survey.groups[index].group;
+        let group = self.survey.groups[survey_index].group;
         let ready = self.now.after(Duration::from_secs_f64(seconds));
-        let seat = FormerSeat { group: group.group, rank };
-        self.memory.remember_preparing(host, seat, ready);
-        self.loads += 1;
+        let membership = FormerMembership { group: group.group, rank };
+        self.memory.record_preparing(host, membership, ready);
+        self.running_loads += 1;
         self.round.actions.push(PlanAction::Prepare {
             host: host.clone(),
             service: group.service.clone(),
@@ -112,13 +112,13 @@
         ready
     }
 
-    pub(super) fn dissolve(&mut self, index: usize) {
-        let group = self.survey.groups[index].group;
-        self.memory.remember_seats(group);
+    pub(super) fn dissolve(&mut self, survey_index: usize) {
+        let group = self.survey.groups[survey_index].group;
+        self.memory.record_former_members(group);
         self.round.actions.push(PlanAction::Dissolve { group: group.group });
     }
 
-    pub(super) fn decide(
+    pub(super) fn record_decision(
         &mut self,
         service: &ServiceName,
         group: Option<GroupId>,
@@ -126,71 +126,73 @@
         (cost, other_cost): (f64, Option<f64>),
     ) {
         let service = service.clone();
-        self.round.decide(PlanDecision { service, group, reason, cost, other_cost });
+        self.round.add_decision(PlanDecision { service, group, reason, cost, other_cost });
     }
 }
 
 impl GroupPlanner {
-    /// A planner for hosts that load weights ahead when they are asked to.
+    /// Creates a planner that prepares free hosts, for fleets that execute `PlanAction::Prepare`.
     pub fn with_loads_ahead() -> Self {
-        Self { loads_ahead: true, ..Self::default() }
+        Self { prepares_hosts: true, ..Self::default() }
     }
 
-    /// Plans one round; deterministic in what it has seen so far.
+    /// Plans one round. The result depends only on the arguments of this and all earlier calls.
     pub fn step(&mut self, now: TimePoint, view: &FleetView, book: &RuleBook) -> PlanRound {
         let started = *self.started.get_or_insert(now);
         let survey = FleetSurvey::take(view);
         self.memory.observe(now, view, &survey);
-        let loads = self.memory.loads_running(view);
-        let mut frame = RoundFrame {
+        let running_loads = self.memory.running_loads(view);
+        let mut context = RoundContext {
             now,
             view,
             survey: &survey,
             memory: &mut self.memory,
             round: PlanRound::default(),
-            loads,
-            settled: now.since(started) >= SETTLE,
-            loads_ahead: self.loads_ahead,
+            running_loads,
+            settled: now.since(started) >= SETTLE_TIME,
+            prepares_hosts: self.prepares_hosts,
         };
-        if !frame.settled && survey.groups.iter().any(|group| !group.missing.is_empty()) {
-            frame.round.wake_at(started.after(SETTLE));
+        if !context.settled && survey.groups.iter().any(|group| !group.missing.is_empty()) {
+            context.round.request_replan(started.after(SETTLE_TIME));
         }
-        if let Some(when) = frame.memory.next_recovery() {
-            frame.round.wake_at(when);
+        if let Some(when) = context.memory.next_recovery_end() {
+            context.round.request_replan(when);
         }
-        dissolve_undeclared(&mut frame, book);
-        for service in in_order(book) {
-            plan_service(&mut frame, book, service);
+        dissolve_undeclared(&mut context, book);
+        for service in services_by_load_value(book) {
+            plan_service(&mut context, book, service);
         }
-        frame.round
+        context.round
     }
 }
 
-/// Services by what one load of weights buys: the weight store is shared, so the service whose
-/// group is worth most for each host to load goes first.
-fn in_order(book: &RuleBook) -> Vec<&ServiceDeclaration> {
-    let worth = |service: &ServiceDeclaration| {
+/// Services in descending order of downtime weight per host to load.
+///
+/// The weight store is shared, so the service that gains most from each load comes first.
+fn services_by_load_value(book: &RuleBook) -> Vec<&ServiceDeclaration> {
+    let load_value = |service: &ServiceDeclaration| {
         place_rules(book, &service.name).downtime_weight
             / f64::from(service.hosts_per_replica.max(1))
     };
     let mut services: Vec<_> = book.document().services.iter().collect();
-    services.sort_by(|a, b| worth(b).total_cmp(&worth(a)));
+    services.sort_by(|a, b| load_value(b).total_cmp(&load_value(a)));
     services
 }
 
-fn plan_service(frame: &mut RoundFrame<'_>, book: &RuleBook, service: &ServiceDeclaration) {
-    let groups = of_service(frame.survey, &service.name);
-    let pool = FreePool::gather(&frame.survey.free, &service.name, &frame.memory.seats);
-    ServicePlan::new(service, book, groups, pool).run(frame);
+fn plan_service(context: &mut RoundContext<'_>, book: &RuleBook, service: &ServiceDeclaration) {
+    let groups = groups_of_service(context.survey, &service.name);
+    let pool =
+        FreePool::gather(&context.survey.free, &service.name, &context.memory.former_memberships);
+    ServicePlan::new(service, book, groups, pool).run(context);
 }
 
-fn dissolve_undeclared(frame: &mut RoundFrame<'_>, book: &RuleBook) {
-    for index in 0..frame.survey.groups.len() {
-        let group = frame.survey.groups[index].group;
+fn dissolve_undeclared(context: &mut RoundContext<'_>, book: &RuleBook) {
+    for survey_index in 0..context.survey.groups.len() {
+        let group = context.survey.groups[survey_index].group;
         if book.document().service(group.service.as_str()).is_none() {
-            frame.dissolve(index);
+            context.dissolve(survey_index);
             let reason = PlanReason::NotDeclared;
-            frame.decide(&group.service, Some(group.group), reason, (0.0, None));
+            context.record_decision(&group.service, Some(group.group), reason, (0.0, None));
         }
     }
 }
--- a/crates/placement/src/planner/memory.rs
+++ b/crates/placement/src/planner/memory.rs
@@ -1,104 +1,109 @@
-//! What the planner remembers between rounds: absences, former seats, hosts that load weights.
+//! State of the planner between rounds: absences, domain outages, former memberships, and hosts
+//! that load weights.
 
 use std::time::Duration;
 
 use briartray_model::names::{DomainName, GroupId, HostName};
 use briartray_model::{SortedTable, TimePoint};
 
-use super::absence::{AbsenceModel, GONE_SECONDS};
-use super::pool::{FormerSeat, SeatMemory};
+use super::absence::{AbsenceModel, PERMANENT_LOSS_SECONDS};
+use super::pool::{FormerMembership, MembershipHistory};
 use super::survey::FleetSurvey;
 use super::{FleetView, GroupView, HostView};
 
-/// A host that was away for less than this is taken to have its weights still loaded.
-const QUICK_RETURN: Duration = Duration::from_secs(40);
+/// A host that was absent for less than this is assumed to still have its weights loaded.
+const WEIGHTS_KEPT_LIMIT: Duration = Duration::from_secs(40);
 
-/// How long a fabric domain that comes back is given until its last hosts are there.
+/// Time for the remaining hosts of a fabric domain to return after most have returned.
 ///
-/// They come back one by one; without the pause the first ones would be put into new groups with
-/// other positions, and all of them would have to load their weights again.
-const RECOVERY: Duration = Duration::from_secs(60);
+/// Hosts return one by one. Without the pause, the first ones would be put into new groups with
+/// other ranks, and all of them would have to load their weights again.
+const DOMAIN_RECOVERY_TIME: Duration = Duration::from_secs(60);
 
-/// A fabric domain most of whose hosts vanished together.
+/// Outage of a fabric domain: most of its hosts disappeared together.
 #[derive(Debug, Clone, PartialEq)]
-struct DarkDomain {
+struct DomainOutage {
     since: TimePoint,
-    /// When most of its hosts were back.
-    back: Option<TimePoint>,
+    /// When most of its hosts had returned.
+    recovering_since: Option<TimePoint>,
 }
 
+/// Absence of one host that has not returned.
 #[derive(Debug, Clone, PartialEq)]
 struct HostAbsence {
     since: TimePoint,
+    /// Incarnation of the host before its absence; `None` if it is unknown.
     incarnation: Option<u64>,
-    /// The host vanished along with its fabric domain, or has been counted as gone.
-    counted: bool,
+    /// Not to be recorded in `host_absences`: the absence is planned, part of a domain outage, of
+    /// unknown start, or already recorded as a permanent loss.
+    excluded: bool,
 }
 
-/// Knowledge carried from one round to the next.
+/// Knowledge that is carried from one planning round to the next.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct PlannerMemory {
     absences: SortedTable<HostName, HostAbsence>,
-    dark: SortedTable<DomainName, DarkDomain>,
+    outages: SortedTable<DomainName, DomainOutage>,
     /// Absences of single hosts.
-    pub(super) hosts: AbsenceModel,
+    pub(super) host_absences: AbsenceModel,
     /// Absences of whole fabric domains.
-    pub(super) domains: AbsenceModel,
-    /// Where free hosts sat before.
-    pub(super) seats: SeatMemory,
-    /// Hosts whose weights are not loaded as far as the planner can tell.
-    fresh: SortedTable<HostName, ()>,
-    /// Free hosts that load ahead, with the time when they are expected to be ready.
+    pub(super) domain_absences: AbsenceModel,
+    /// Last group and rank of hosts that are free now.
+    pub(super) former_memberships: MembershipHistory,
+    /// Hosts whose weights are not known to be loaded.
+    unloaded: SortedTable<HostName, ()>,
+    /// Free hosts that are being prepared, with the time when they are expected to be ready.
     preparing: SortedTable<HostName, TimePoint>,
 }
 
 impl PlannerMemory {
-    /// Learns from what changed since the last round.
+    /// Updates the state with what has changed since the last round.
     pub(super) fn observe(&mut self, now: TimePoint, view: &FleetView, survey: &FleetSurvey<'_>) {
-        self.note_dark(now, survey);
-        self.note_returns(now, view);
+        self.track_outages(now, survey);
+        self.record_returns(now, view);
         for host in &survey.absent {
-            self.note_absent(now, host, survey);
+            self.record_absence(now, host, survey);
         }
         for group in &survey.groups {
             for host in &group.missing {
                 if !self.absences.contains_key(host) {
-                    self.note_unknown(now, host);
+                    self.record_unknown_member(now, host);
                 }
             }
         }
-        self.end_preparing(now, view);
-        self.fresh.retain(|host, ()| !sits_whole(view, host));
-        self.seats.retain(|host, _| view.hosts.get(host).is_some_and(|host| host.group.is_none()));
+        self.remove_finished_preparing(now, view);
+        self.unloaded.retain(|host, ()| !is_in_whole_group(view, host));
+        self.former_memberships
+            .retain(|host, _| view.hosts.get(host).is_some_and(|host| host.group.is_none()));
     }
 
-    /// How long `host` has been away, in seconds.
-    pub(super) fn away_seconds(&self, now: TimePoint, host: &HostName) -> f64 {
+    /// How long `host` has been absent, in seconds.
+    pub(super) fn absent_seconds(&self, now: TimePoint, host: &HostName) -> f64 {
         self.absences.get(host).map_or(0.0, |absence| now.since(absence.since).as_secs_f64())
     }
 
-    /// How long the fabric domain has been dark, in seconds.
-    pub(super) fn dark_seconds(&self, now: TimePoint, domain: &DomainName) -> Option<f64> {
-        self.dark.get(domain).map(|dark| now.since(dark.since).as_secs_f64())
+    /// How long the outage of `domain` has lasted, in seconds; `None` if there is none.
+    pub(super) fn outage_seconds(&self, now: TimePoint, domain: &DomainName) -> Option<f64> {
+        self.outages.get(domain).map(|outage| now.since(outage.since).as_secs_f64())
     }
 
-    /// Members of `group` that still have to load their weights.
-    pub(super) fn loads_of(&self, group: &GroupView) -> usize {
-        if self.fresh.is_empty() {
+    /// Number of members of `group` that still have to load their weights.
+    pub(super) fn unloaded_members(&self, group: &GroupView) -> usize {
+        if self.unloaded.is_empty() {
             return 0;
         }
-        group.members.iter().filter(|host| self.fresh.contains_key(host)).count()
+        group.members.iter().filter(|host| self.unloaded.contains_key(host)).count()
     }
 
-    /// Whether `host` still has to load its weights as far as the planner can tell.
-    pub(super) fn is_fresh(&self, host: &HostName) -> bool {
-        self.fresh.contains_key(host)
+    /// Whether `host` is not known to have its weights loaded.
+    pub(super) fn is_unloaded(&self, host: &HostName) -> bool {
+        self.unloaded.contains_key(host)
     }
 
-    /// Hosts that load now: in a group and not known to be ready.
-    pub(super) fn loads_running(&self, view: &FleetView) -> usize {
+    /// Number of hosts that load now: present members not known to be ready, and prepared hosts.
+    pub(super) fn running_loads(&self, view: &FleetView) -> usize {
         let in_groups = self
-            .fresh
+            .unloaded
             .keys()
             .filter_map(|host| view.hosts.get(host))
             .filter(|host| host.present && host.group.is_some())
@@ -106,8 +111,8 @@
         in_groups + self.preparing.len()
     }
 
-    /// When `host` is expected to be ready for the position `rank`; none when it would have to
-    /// start to load.
+    /// When `host` is expected to be ready to serve as `rank`; `None` if it has not started to
+    /// load the weights of that rank.
     pub(super) fn ready_at(
         &self,
         now: TimePoint,
@@ -117,142 +122,150 @@
         if self.is_ready(host, rank) {
             return Some(now);
         }
-        let seated = self.seats.get(host).is_some_and(|seat| seat.rank == rank);
-        self.preparing.get(host).filter(|_| seated).copied()
+        let same_rank =
+            self.former_memberships.get(host).is_some_and(|membership| membership.rank == rank);
+        self.preparing.get(host).filter(|_| same_rank).copied()
     }
 
-    /// Takes note of a free host that starts to load ahead.
-    pub(super) fn remember_preparing(
+    /// Records that a free host is prepared for the rank in `membership`.
+    pub(super) fn record_preparing(
         &mut self,
         host: &HostName,
-        seat: FormerSeat,
+        membership: FormerMembership,
         ready: TimePoint,
     ) {
-        self.seats.insert(host.clone(), seat);
-        self.fresh.insert(host.clone(), ());
+        self.former_memberships.insert(host.clone(), membership);
+        self.unloaded.insert(host.clone(), ());
         self.preparing.insert(host.clone(), ready);
     }
 
-    fn end_preparing(&mut self, now: TimePoint, view: &FleetView) {
-        let fresh = &mut self.fresh;
+    fn remove_finished_preparing(&mut self, now: TimePoint, view: &FleetView) {
+        let unloaded = &mut self.unloaded;
         self.preparing.retain(|name, ready| {
             let host = view.hosts.get(name).filter(|host| host.present && host.group.is_none());
-            let ended = host.is_none() || *ready <= now;
-            if host.is_some() && ended {
-                fresh.remove(name);
+            let finished = host.is_none() || *ready <= now;
+            if host.is_some() && finished {
+                unloaded.remove(name);
             }
-            !ended
+            !finished
         });
     }
 
-    /// Takes note of a group that is about to be dissolved.
-    pub(super) fn remember_seats(&mut self, group: &GroupView) {
+    /// Records the members of a group that is about to be dissolved.
+    pub(super) fn record_former_members(&mut self, group: &GroupView) {
         for (rank, host) in group.members.iter().enumerate() {
-            self.remember_seat(group.group, rank, host);
+            self.record_former_member(group.group, rank, host);
         }
     }
 
-    /// Takes note of one host that loses its position.
-    pub(super) fn remember_seat(&mut self, group: GroupId, rank: usize, host: &HostName) {
-        self.seats.insert(host.clone(), FormerSeat { group, rank });
+    /// Records a host that is removed from a group.
+    pub(super) fn record_former_member(&mut self, group: GroupId, rank: usize, host: &HostName) {
+        self.former_memberships.insert(host.clone(), FormerMembership { group, rank });
     }
 
-    /// How many hosts of a new group would have weights to load.
-    pub(super) fn loads_for(&self, members: &[HostName]) -> usize {
+    /// Number of hosts of a new group that would have to load weights.
+    pub(super) fn loads_needed(&self, members: &[HostName]) -> usize {
         members.iter().enumerate().filter(|(rank, host)| !self.is_ready(host, *rank)).count()
     }
 
-    /// Takes note of a new group; returns how many of its hosts have weights to load.
-    pub(super) fn remember_members(&mut self, members: &[HostName]) -> usize {
+    /// Records the members of a new group; returns how many of them have to load weights.
+    pub(super) fn record_new_group(&mut self, members: &[HostName]) -> usize {
         for (rank, host) in members.iter().enumerate() {
             if !self.is_ready(host, rank) {
-                self.fresh.insert(host.clone(), ());
+                self.unloaded.insert(host.clone(), ());
             }
         }
-        members.iter().filter(|host| self.fresh.contains_key(host)).count()
+        members.iter().filter(|host| self.unloaded.contains_key(host)).count()
     }
 
     fn is_ready(&self, host: &HostName, rank: usize) -> bool {
-        !self.fresh.contains_key(host) && self.seats.get(host).is_some_and(|seat| seat.rank == rank)
+        !self.unloaded.contains_key(host)
+            && self.former_memberships.get(host).is_some_and(|membership| membership.rank == rank)
     }
 
-    /// Takes note of one host that takes over a position.
-    pub(super) fn remember_member(&mut self, host: &HostName) {
-        self.fresh.insert(host.clone(), ());
+    /// Records that `host` has to load the weights of a new rank.
+    pub(super) fn mark_unloaded(&mut self, host: &HostName) {
+        self.unloaded.insert(host.clone(), ());
     }
 
-    fn note_dark(&mut self, now: TimePoint, survey: &FleetSurvey<'_>) {
+    fn track_outages(&mut self, now: TimePoint, survey: &FleetSurvey<'_>) {
         for count in &survey.domains {
-            if count.is_dark() {
-                let begin = || DarkDomain { since: now, back: None };
-                self.dark.get_or_insert_with(count.domain.clone(), begin).back = None;
+            if count.has_outage() {
+                let new_outage = || DomainOutage { since: now, recovering_since: None };
+                self.outages
+                    .get_or_insert_with(count.domain.clone(), new_outage)
+                    .recovering_since = None;
             }
         }
-        let domains = &mut self.domains;
-        self.dark.retain(|domain, dark| {
-            if survey.is_dark(domain) {
+        let domain_absences = &mut self.domain_absences;
+        self.outages.retain(|domain, outage| {
+            if survey.has_outage(domain) {
                 return true;
             }
-            if dark.back.is_none() {
-                domains.record_return(now.since(dark.since).as_secs_f64(), true);
+            if outage.recovering_since.is_none() {
+                domain_absences.record_return(now.since(outage.since).as_secs_f64(), true);
             }
-            let back = *dark.back.get_or_insert(now);
-            survey.lacks_hosts(domain) && now.since(back) < RECOVERY
+            let recovering_since = *outage.recovering_since.get_or_insert(now);
+            survey.has_absent_members(domain) && now.since(recovering_since) < DOMAIN_RECOVERY_TIME
         });
     }
 
-    /// When the next fabric domain has had its time to come back.
-    pub(super) fn next_recovery(&self) -> Option<TimePoint> {
-        self.dark.values().filter_map(|dark| dark.back).map(|back| back.after(RECOVERY)).min()
+    /// When the next `DOMAIN_RECOVERY_TIME` of a fabric domain ends.
+    pub(super) fn next_recovery_end(&self) -> Option<TimePoint> {
+        self.outages
+            .values()
+            .filter_map(|outage| outage.recovering_since)
+            .map(|recovering_since| recovering_since.after(DOMAIN_RECOVERY_TIME))
+            .min()
     }
 
-    fn note_returns(&mut self, now: TimePoint, view: &FleetView) {
-        let (hosts, fresh) = (&mut self.hosts, &mut self.fresh);
+    fn record_returns(&mut self, now: TimePoint, view: &FleetView) {
+        let (host_absences, unloaded) = (&mut self.host_absences, &mut self.unloaded);
         self.absences.retain(|name, absence| {
             let Some(host) = view.hosts.get(name).filter(|host| host.present) else {
-                return view.hosts.contains_key(name) || !absence.counted;
+                return view.hosts.contains_key(name) || !absence.excluded;
             };
-            let away = now.since(absence.since);
-            let same = absence.incarnation == Some(host.announcement.incarnation);
-            let kept = same || away < QUICK_RETURN;
-            if !kept {
-                fresh.insert(name.clone(), ());
+            let absent_for = now.since(absence.since);
+            let same_incarnation = absence.incarnation == Some(host.announcement.incarnation);
+            let weights_kept = same_incarnation || absent_for < WEIGHTS_KEPT_LIMIT;
+            if !weights_kept {
+                unloaded.insert(name.clone(), ());
             }
-            if !absence.counted {
-                hosts.record_return(away.as_secs_f64(), kept);
+            if !absence.excluded {
+                host_absences.record_return(absent_for.as_secs_f64(), weights_kept);
             }
             false
         });
     }
 
-    fn note_absent(&mut self, now: TimePoint, host: &HostView, survey: &FleetSurvey<'_>) {
+    fn record_absence(&mut self, now: TimePoint, host: &HostView, survey: &FleetSurvey<'_>) {
         let name = &host.announcement.host;
-        let dark = survey.is_dark(&host.announcement.domain);
-        let hosts = &mut self.hosts;
+        let outage = survey.has_outage(&host.announcement.domain);
+        let host_absences = &mut self.host_absences;
         let Some(absence) = self.absences.get_mut(name) else {
             let incarnation = Some(host.announcement.incarnation);
             let since = host.since.min(now);
-            // A host that was told to leave says nothing about hosts that vanish.
-            let counted = dark || host.announcement.leaving;
-            self.absences.insert(name.clone(), HostAbsence { since, incarnation, counted });
+            // A planned absence is no evidence of how long hosts that fail stay absent.
+            let excluded = outage || host.announcement.leaving;
+            self.absences.insert(name.clone(), HostAbsence { since, incarnation, excluded });
             return;
         };
-        absence.counted |= dark;
-        if !absence.counted && now.since(absence.since).as_secs_f64() > GONE_SECONDS {
-            absence.counted = true;
-            hosts.record_gone();
+        absence.excluded |= outage;
+        if !absence.excluded && now.since(absence.since).as_secs_f64() > PERMANENT_LOSS_SECONDS {
+            absence.excluded = true;
+            host_absences.record_permanent_loss();
         }
     }
 
-    /// A member that no agent has announced since this planner began, as after a change of leader:
-    /// its absence is counted from now, since nothing older is known.
-    fn note_unknown(&mut self, now: TimePoint, host: &HostName) {
-        let absence = HostAbsence { since: now, incarnation: None, counted: true };
+    /// Records a member that has not been announced since this planner started, as after a change
+    /// of leader. The start of its absence is unknown, so it is measured from now.
+    fn record_unknown_member(&mut self, now: TimePoint, host: &HostName) {
+        let absence = HostAbsence { since: now, incarnation: None, excluded: true };
         self.absences.insert(host.clone(), absence);
     }
 }
 
-fn sits_whole(view: &FleetView, host: &HostName) -> bool {
+fn is_in_whole_group(view: &FleetView, host: &HostName) -> bool {
     view.hosts
         .get(host)
         .and_then(|host| host.group)
--- a/crates/placement/src/planner/mod.rs
+++ b/crates/placement/src/planner/mod.rs
@@ -1,8 +1,12 @@
-//! Deciding which groups to form, mend, replace and dissolve.
+//! Decides which groups to form, repair, replace and dissolve.
 //!
-//! `GroupPlanner` weighs group downtime against stranded accelerators; `plan_first_come` is the
-//! naive planner that it is measured against. Both are pure: time, fleet and rules come in,
-//! actions go out.
+//! `GroupPlanner` minimizes the expected cost of group downtime and stranded accelerators;
+//! `plan_first_come` is the naive planner that it is compared with. Both do no I/O: they take the
+//! time, a view of the fleet and the rules, and return actions.
+//!
+//! A place is a provider together with one of its fabric domains. The members of a group are
+//! ordered; the rank of a member is its position in that order and determines which part of the
+//! model's weights it loads.
 
 mod absence;
 mod capacity;
--- a/crates/placement/src/planner/pool.rs
+++ b/crates/placement/src/planner/pool.rs
@@ -9,7 +9,7 @@
 
 /// Where a host sat before it was freed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct FormerSeat {
+pub(super) struct FormerMembership {
     /// Its group then.
     pub(super) group: GroupId,
     /// Its position in that group.
@@ -17,7 +17,7 @@
 }
 
 /// Former seats of free hosts; a host that takes the same position finds its weights loaded.
-pub(super) type SeatMemory = SortedTable<HostName, FormerSeat>;
+pub(super) type MembershipHistory = SortedTable<HostName, FormerMembership>;
 
 /// Free hosts of one provider and fabric domain.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     pub(super) provider: &'a ProviderName,
     pub(super) domain: &'a DomainName,
     pub(super) zone: &'a ZoneName,
-    hosts: Vec<(Option<FormerSeat>, &'a HostView)>,
+    hosts: Vec<(Option<FormerMembership>, &'a HostView)>,
 }
 
 impl<'a> PlacePool<'a> {
@@ -35,26 +35,29 @@
 
     /// Picks hosts for a whole new group, by position: each rank goes to a host that held it
     /// before, in the same group where possible, and the rest to whoever is left.
-    pub(super) fn pick_set(&self, size: usize) -> Vec<usize> {
+    pub(super) fn pick_members(&self, size: usize) -> Vec<usize> {
         let mut picked = vec![None; size];
-        let home = self.largest_former();
-        for pass in [home, None] {
-            for (rank, slot) in picked.iter_mut().enumerate().filter(|(_, slot)| slot.is_none()) {
-                *slot = self.hosts.iter().position(|(seat, _)| {
-                    seat.is_some_and(|seat| {
-                        seat.rank == rank && (pass.is_none() || pass == Some(seat.group))
+        let preferred_group = self.largest_former_group();
+        for wanted_group in [preferred_group, None] {
+            for (rank, choice) in
+                picked.iter_mut().enumerate().filter(|(_, choice)| choice.is_none())
+            {
+                *choice = self.hosts.iter().position(|(membership, _)| {
+                    membership.is_some_and(|membership| {
+                        membership.rank == rank
+                            && (wanted_group.is_none() || wanted_group == Some(membership.group))
                     })
                 });
             }
         }
-        let mut rest: Vec<usize> = (0..self.hosts.len()).rev().collect();
-        rest.retain(|index| !picked.contains(&Some(*index)));
-        picked.into_iter().filter_map(|slot| slot.or_else(|| rest.pop())).collect()
+        let mut others: Vec<usize> = (0..self.hosts.len()).rev().collect();
+        others.retain(|index| !picked.contains(&Some(*index)));
+        picked.into_iter().filter_map(|choice| choice.or_else(|| others.pop())).collect()
     }
 
     /// Names of picked hosts.
     pub(super) fn names(&self, picked: &[usize]) -> Vec<HostName> {
-        picked.iter().map(|index| name_of(self.hosts[*index].1)).collect()
+        picked.iter().map(|index| host_name(self.hosts[*index].1)).collect()
     }
 
     /// Takes picked hosts out.
@@ -69,27 +72,33 @@
     }
 
     /// Takes one host for the position `rank`: one that held the same before, or the last.
-    pub(super) fn take_one(&mut self, rank: usize) -> Option<HostName> {
-        let index = self.index_for(rank)?;
-        Some(name_of(self.hosts.remove(index).1))
+    pub(super) fn take_for_rank(&mut self, rank: usize) -> Option<HostName> {
+        let index = self.index_for_rank(rank)?;
+        Some(host_name(self.hosts.remove(index).1))
     }
 
-    /// The host that `take_one` would take.
-    pub(super) fn peek_one(&self, rank: usize) -> Option<&HostName> {
-        self.index_for(rank).map(|index| &self.hosts[index].1.announcement.host)
+    /// The host that `take_for_rank` would take.
+    pub(super) fn peek_for_rank(&self, rank: usize) -> Option<&HostName> {
+        self.index_for_rank(rank).map(|index| &self.hosts[index].1.announcement.host)
     }
 
-    fn index_for(&self, rank: usize) -> Option<usize> {
-        let same = |seat: &Option<FormerSeat>| seat.is_some_and(|seat| seat.rank == rank);
-        let index = self.hosts.iter().position(|(seat, _)| same(seat));
+    fn index_for_rank(&self, rank: usize) -> Option<usize> {
+        let same_rank = |membership: &Option<FormerMembership>| {
+            membership.is_some_and(|membership| membership.rank == rank)
+        };
+        let index = self.hosts.iter().position(|(membership, _)| same_rank(membership));
         index.or_else(|| self.hosts.len().checked_sub(1))
     }
 
     /// The former group that most of the hosts sat in.
-    fn largest_former(&self) -> Option<GroupId> {
+    fn largest_former_group(&self) -> Option<GroupId> {
         self.hosts
-            .chunk_by(|a, b| a.0.map(|seat| seat.group) == b.0.map(|seat| seat.group))
-            .filter_map(|run| run[0].0.map(|seat| (run.len(), Reverse(seat.group))))
+            .chunk_by(|a, b| {
+                a.0.map(|membership| membership.group) == b.0.map(|membership| membership.group)
+            })
+            .filter_map(|hosts| {
+                hosts[0].0.map(|membership| (hosts.len(), Reverse(membership.group)))
+            })
             .max()
             .map(|(_, Reverse(group))| group)
     }
@@ -103,14 +112,19 @@
 
 impl<'a> FreePool<'a> {
     /// Picks the hosts of `service` out of `free`, which is in order of service and place.
-    pub(super) fn gather(free: &[&'a HostView], service: &ServiceName, seats: &SeatMemory) -> Self {
+    pub(super) fn gather(
+        free: &[&'a HostView],
+        service: &ServiceName,
+        memberships: &MembershipHistory,
+    ) -> Self {
         let start = free.partition_point(|host| host.announcement.service < *service);
         let end = free.partition_point(|host| host.announcement.service <= *service);
         let same_place = |a: &&HostView, b: &&HostView| {
             a.announcement.domain == b.announcement.domain
                 && a.announcement.provider == b.announcement.provider
         };
-        let places = free[start..end].chunk_by(same_place).map(|run| pool_of(run, seats)).collect();
+        let places =
+            free[start..end].chunk_by(same_place).map(|run| place_pool(run, memberships)).collect();
         Self { places }
     }
 
@@ -139,11 +153,11 @@
     }
 }
 
-fn pool_of<'a>(run: &[&'a HostView], seats: &SeatMemory) -> PlacePool<'a> {
+fn place_pool<'a>(run: &[&'a HostView], memberships: &MembershipHistory) -> PlacePool<'a> {
     let mut hosts: Vec<_> =
-        run.iter().map(|host| (seats.get(&host.announcement.host).copied(), *host)).collect();
+        run.iter().map(|host| (memberships.get(&host.announcement.host).copied(), *host)).collect();
     // Former seats first and in order, so that sets that sat together are neighbours.
-    hosts.sort_by_key(|(seat, _)| (seat.is_none(), *seat));
+    hosts.sort_by_key(|(membership, _)| (membership.is_none(), *membership));
     PlacePool {
         provider: &run[0].announcement.provider,
         domain: &run[0].announcement.domain,
@@ -152,6 +166,6 @@
     }
 }
 
-fn name_of(host: &HostView) -> HostName {
+fn host_name(host: &HostView) -> HostName {
     host.announcement.host.clone()
 }
--- a/crates/placement/src/planner/queue.rs
+++ b/crates/placement/src/planner/queue.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use super::group_planner::RoundFrame;
+use super::group_planner::RoundContext;
 use super::reason::PlanReason;
-use super::service::{GroupFate, ServicePlan};
+use super::service::{GroupDisposition, ServicePlan};
 use super::survey::GroupSurvey;
 
 /// Groups whose members came back this recently may be sent to the queue for the weight store;
@@ -17,40 +17,45 @@
     /// When a fabric domain comes back, the weight store shares its rate among all of its hosts
     /// and every group becomes whole only at the very end. Formed one after the other, the groups
     /// wait half as long on average.
-    pub(super) fn queue_loads(&mut self, frame: &mut RoundFrame<'_>) {
+    pub(super) fn queue_loads(&mut self, context: &mut RoundContext<'_>) {
         let limit = self.rules.parallel_loads as usize;
-        if limit == 0 || frame.loads <= limit {
+        if limit == 0 || context.running_loads <= limit {
             return;
         }
         let mut running = 0;
-        for at in 0..self.groups.len() {
-            let index = self.groups[at];
-            let survey = &frame.survey.groups[index];
-            if self.fates[at] != GroupFate::Keep || survey.group.whole {
+        for slot in 0..self.groups.len() {
+            let survey_index = self.groups[slot];
+            let survey = &context.survey.groups[survey_index];
+            if self.dispositions[slot] != GroupDisposition::Keep || survey.group.whole {
                 continue;
             }
-            let loads = frame.memory.loads_of(survey.group);
+            let loads = context.memory.unloaded_members(survey.group);
             let first = running == 0;
             running += loads;
             let most = 2 * loads >= survey.group.members.len();
-            if !first && running > limit && most && just_returned(frame, survey) {
+            if !first && running > limit && most && just_returned(context, survey) {
                 running -= loads;
-                frame.loads = frame.loads.saturating_sub(loads);
-                frame.dissolve(index);
-                self.fates[at] = GroupFate::Ended;
+                context.running_loads = context.running_loads.saturating_sub(loads);
+                context.dissolve(survey_index);
+                self.dispositions[slot] = GroupDisposition::Handled;
                 let reason = PlanReason::LoadsQueued;
-                frame.decide(&self.service.name, Some(survey.group.group), reason, (0.0, None));
+                context.record_decision(
+                    &self.service.name,
+                    Some(survey.group.group),
+                    reason,
+                    (0.0, None),
+                );
             }
         }
     }
 }
 
-fn just_returned(frame: &RoundFrame<'_>, survey: &GroupSurvey<'_>) -> bool {
+fn just_returned(context: &RoundContext<'_>, survey: &GroupSurvey<'_>) -> bool {
     survey
         .group
         .members
         .iter()
-        .filter_map(|host| frame.view.hosts.get(host))
+        .filter_map(|host| context.view.hosts.get(host))
         .filter(|host| host.present)
-        .any(|host| frame.now.since(host.since) < QUEUE_WINDOW)
+        .any(|host| context.now.since(host.since) < QUEUE_WINDOW)
 }
--- a/crates/placement/src/planner/reason.rs
+++ b/crates/placement/src/planner/reason.rs
@@ -1,56 +1,58 @@
-//! Why the planner did what it did, in a form that can be shown.
+//! Reasons and costs of planner decisions, for logs and reports.
 
 use briartray_model::names::{GroupId, ServiceName};
 use briartray_model::{plain_choice, plain_value};
 
 plain_choice! {
-    /// What a decision came down to.
+    /// Reason for a decision.
     pub enum PlanReason {
-        /// Fewer groups than wanted, and hosts to form one.
+        /// Fewer groups exist than replicas are declared, and enough hosts are free to form one.
         MissingReplica,
-        /// Hosts would be idle, and the rules ask for groups that stand in at once.
+        /// Hosts are idle, and the rules ask for standby groups beyond the declared replicas.
         StandbyReplica,
-        /// A missing member is expected back sooner than a replacement would be ready.
+        /// Waiting for a missing member is expected to cost less than replacing it.
         WaitForReturn,
-        /// Nobody is there to replace a missing member.
+        /// No free host can replace a missing member.
         WaitNoSpare,
-        /// A free host of the same place takes the missing member's position.
+        /// A free host of the same place replaces a missing member.
         UseSpare,
-        /// Another broken group of the same place gives up its members.
+        /// Another broken group of the same place is dissolved and its hosts replace missing members.
         SplitBroken,
-        /// A whole new group takes over, formed before the old one ends.
+        /// A new group is formed elsewhere; the old one is dissolved once the new one serves.
         RebuildElsewhere,
-        /// A free host of another fabric domain takes the missing member's position.
+        /// A group is formed or completed with hosts of several fabric domains.
         CrossDomain,
-        /// A group that crosses fabric domains comes back into one.
+        /// A group that crosses fabric domains is replaced by one within a single domain.
         ComeHome,
-        /// A member that is on its way out is replaced.
+        /// A member that has announced to leave is replaced.
         MemberLeaving,
-        /// A group moves to a provider that the rules prefer.
+        /// A group is replaced by one at a provider that the rules prefer.
         ProviderPreferred,
-        /// A member listens at another address since it restarted.
+        /// A member listens at another address after a restart; the group is assigned anew.
         AddressChanged,
-        /// Too many hosts load at once; the group is formed again when the weight store has room.
+        /// Too many hosts load at once; the group is dissolved and formed again later, when the weight
+        /// store has capacity.
         LoadsQueued,
-        /// The group has been replaced or is more than wanted.
+        /// The group has been superseded, exceeds the declared replicas, or waits for a host that is
+        /// not expected back.
         Surplus,
-        /// The service is not declared, or with another number of hosts.
+        /// The service is not declared, or is declared with another number of hosts per replica.
         NotDeclared,
     }
 }
 
 plain_value! {
-    /// One decision of one round, with the costs that were compared.
+    /// A decision of one planning round, with the costs that were compared.
     pub struct PlanDecision {
         /// Service concerned.
         pub service: ServiceName,
-        /// Group concerned; none when a new one is formed.
+        /// Group concerned; `None` if a new one is formed.
         pub group: Option<GroupId>,
-        /// What it came down to.
+        /// Reason for the decision.
         pub reason: PlanReason,
-        /// Expected cost of what was chosen, in weighted seconds.
+        /// Expected cost of the chosen option, in seconds weighted by the rules.
         pub cost: f64,
-        /// Expected cost of the next best choice, when there was one.
+        /// Expected cost of the next best option in the same unit, if there was one.
         pub other_cost: Option<f64>,
     }
 }
--- a/crates/placement/src/planner/service.rs
+++ b/crates/placement/src/planner/service.rs
@@ -3,20 +3,20 @@
 use briartray_model::names::{HostName, ProviderName, ZoneName};
 use briartray_model::rules::{DecisionFacts, PlaceAction, RuleBook, ServiceDeclaration};
 
-use super::group_planner::RoundFrame;
+use super::group_planner::RoundContext;
 use super::pool::FreePool;
 use super::reason::PlanReason;
 use crate::accounting::place_rules;
 
 /// What is to become of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum GroupFate {
+pub(super) enum GroupDisposition {
     /// It counts as one replica.
     Keep,
     /// It ends once another serves in its place.
-    Move(PlanReason),
+    Supersede(PlanReason),
     /// It has been dealt with in this round and no longer counts.
-    Ended,
+    Handled,
 }
 
 /// The groups and free hosts of one service during one round.
@@ -27,10 +27,10 @@
     pub(super) rules: PlaceAction,
     /// Positions in the survey.
     pub(super) groups: Vec<usize>,
-    pub(super) fates: Vec<GroupFate>,
+    pub(super) dispositions: Vec<GroupDisposition>,
     pub(super) pool: FreePool<'a>,
     /// Hosts of each place that are kept for repairs.
-    pub(super) held: Vec<usize>,
+    pub(super) reserved_spares: Vec<usize>,
     /// Groups that this round put in the place of others.
     pub(super) successors: usize,
     /// Groups that this round has formed.
@@ -45,32 +45,32 @@
         pool: FreePool<'a>,
     ) -> Self {
         let rules = place_rules(book, &service.name);
-        let fates = vec![GroupFate::Keep; groups.len()];
+        let dispositions = vec![GroupDisposition::Keep; groups.len()];
         Self {
             service,
             book,
             rules,
             groups,
-            fates,
+            dispositions,
             pool,
-            held: Vec::new(),
+            reserved_spares: Vec::new(),
             successors: 0,
             formed: 0,
         }
     }
 
-    pub(super) fn run(mut self, frame: &mut RoundFrame<'_>) {
-        if frame.settled {
-            self.refresh_addresses(frame);
-            self.mark_moves(frame);
-            self.mend_broken(frame);
-            self.relieve_loading(frame);
-            self.swap_leaving(frame);
-            self.queue_loads(frame);
+    pub(super) fn run(mut self, context: &mut RoundContext<'_>) {
+        if context.settled {
+            self.refresh_addresses(context);
+            self.mark_superseded(context);
+            self.repair_broken(context);
+            self.replace_loading_members(context);
+            self.swap_leaving_members(context);
+            self.queue_loads(context);
         }
-        self.fill_up(frame);
-        if frame.settled {
-            self.let_go(frame);
+        self.form_missing(context);
+        if context.settled {
+            self.dissolve_unneeded(context);
         }
     }
 
@@ -94,22 +94,22 @@
     }
 
     /// Time to load the weights of `hosts` hosts while others load too, in seconds.
-    pub(super) fn load_seconds(&self, frame: &RoundFrame<'_>, hosts: usize) -> f64 {
+    pub(super) fn load_seconds(&self, context: &RoundContext<'_>, hosts: usize) -> f64 {
         let alone = self.rules.load_ms as f64 / 1000.0;
         match self.rules.parallel_loads {
             0 => alone,
-            limit => alone * ((frame.loads + hosts) as f64 / f64::from(limit)).max(1.0),
+            limit => alone * ((context.running_loads + hosts) as f64 / f64::from(limit)).max(1.0),
         }
     }
 
     /// Whether the weight store has room for `hosts` more; a lone group is never held back.
-    pub(super) fn has_room(&self, frame: &RoundFrame<'_>, hosts: usize) -> bool {
+    pub(super) fn has_load_capacity(&self, context: &RoundContext<'_>, hosts: usize) -> bool {
         let limit = self.rules.parallel_loads as usize;
-        limit == 0 || frame.loads == 0 || frame.loads + hosts <= limit
+        limit == 0 || context.running_loads == 0 || context.running_loads + hosts <= limit
     }
 
     /// Cost of one second without a group of this service, given its accelerators.
-    pub(super) fn worth(&self, accelerators: f64) -> f64 {
+    pub(super) fn downtime_cost_rate(&self, accelerators: f64) -> f64 {
         self.rules.downtime_weight + self.rules.stranded_weight * accelerators
     }
 
@@ -119,37 +119,42 @@
         order.iter().position(|name| name == provider.as_str()).unwrap_or(order.len())
     }
 
-    pub(super) fn count(&self, fate: impl Fn(GroupFate) -> bool) -> usize {
-        self.fates.iter().filter(|known| fate(**known)).count()
+    pub(super) fn count_groups(&self, matches: impl Fn(GroupDisposition) -> bool) -> usize {
+        self.dispositions.iter().filter(|disposition| matches(**disposition)).count()
     }
 
     /// Groups of this service that serve and have not been ended in this round.
-    pub(super) fn serving(&self, frame: &RoundFrame<'_>) -> usize {
+    pub(super) fn serving(&self, context: &RoundContext<'_>) -> usize {
         (0..self.groups.len())
-            .filter(|at| self.fates[*at] != GroupFate::Ended)
-            .filter(|at| frame.survey.groups[self.groups[*at]].serves())
+            .filter(|slot| self.dispositions[*slot] != GroupDisposition::Handled)
+            .filter(|slot| context.survey.groups[self.groups[*slot]].serves())
             .count()
     }
 
     /// A member that restarted on another port cannot be reached under the old assignment, so the
     /// group would never become whole again; the same members get a new one.
-    fn refresh_addresses(&mut self, frame: &mut RoundFrame<'_>) {
-        for at in 0..self.groups.len() {
-            let index = self.groups[at];
-            let survey = &frame.survey.groups[index];
+    fn refresh_addresses(&mut self, context: &mut RoundContext<'_>) {
+        for slot in 0..self.groups.len() {
+            let survey_index = self.groups[slot];
+            let survey = &context.survey.groups[survey_index];
             if survey.group.stale_links && survey.missing.is_empty() {
                 let members = survey.group.members.clone();
-                frame.replace(index, members);
-                self.fates[at] = GroupFate::Ended;
-                self.mended();
+                context.replace(survey_index, members);
+                self.dispositions[slot] = GroupDisposition::Handled;
+                self.count_successor();
                 let reason = PlanReason::AddressChanged;
-                frame.decide(&self.service.name, Some(survey.group.group), reason, (0.0, None));
+                context.record_decision(
+                    &self.service.name,
+                    Some(survey.group.group),
+                    reason,
+                    (0.0, None),
+                );
             }
         }
     }
 
     /// Marks groups that should make way for another one.
-    fn mark_moves(&mut self, frame: &RoundFrame<'_>) {
+    fn mark_superseded(&mut self, context: &RoundContext<'_>) {
         let size = self.size();
         let best = self
             .pool
@@ -158,20 +163,24 @@
             .filter(|place| place.len() >= size)
             .map(|place| self.provider_rank(place.provider))
             .min();
-        for at in 0..self.groups.len() {
-            let survey = &frame.survey.groups[self.groups[at]];
-            if self.fates[at] == GroupFate::Ended {
+        for slot in 0..self.groups.len() {
+            let survey = &context.survey.groups[self.groups[slot]];
+            if self.dispositions[slot] == GroupDisposition::Handled {
                 continue;
             }
-            let rank = survey.anchor.map(|said| self.provider_rank(&said.provider));
+            let rank = survey
+                .present_member
+                .map(|announcement| self.provider_rank(&announcement.provider));
             if survey.group.members.len() != size {
-                self.fates[at] = GroupFate::Move(PlanReason::NotDeclared);
+                self.dispositions[slot] = GroupDisposition::Supersede(PlanReason::NotDeclared);
             } else if !survey.leaving.is_empty() {
-                self.fates[at] = GroupFate::Move(PlanReason::MemberLeaving);
+                self.dispositions[slot] = GroupDisposition::Supersede(PlanReason::MemberLeaving);
             } else if best.is_some() && best < rank {
-                self.fates[at] = GroupFate::Move(PlanReason::ProviderPreferred);
-            } else if best.is_some() && self.crossing_members(frame, self.groups[at]).is_some() {
-                self.fates[at] = GroupFate::Move(PlanReason::ComeHome);
+                self.dispositions[slot] =
+                    GroupDisposition::Supersede(PlanReason::ProviderPreferred);
+            } else if best.is_some() && self.crossing_members(context, self.groups[slot]).is_some()
+            {
+                self.dispositions[slot] = GroupDisposition::Supersede(PlanReason::ComeHome);
             }
         }
     }
@@ -179,14 +188,14 @@
     /// Members outside the fabric domain that most members share; `None` when there is none.
     pub(super) fn crossing_members(
         &self,
-        frame: &RoundFrame<'_>,
-        index: usize,
+        context: &RoundContext<'_>,
+        survey_index: usize,
     ) -> Option<Vec<HostName>> {
         if !self.rules.cross_domain {
             return None;
         }
-        let group = frame.survey.groups[index].group;
-        let domain_of = |host| frame.view.hosts.get(host).map(|h| &h.announcement.domain);
+        let group = context.survey.groups[survey_index].group;
+        let domain_of = |host| context.view.hosts.get(host).map(|h| &h.announcement.domain);
         let domains: Vec<_> = group.members.iter().map(domain_of).collect();
         let home = domains
             .iter()
--- a/crates/placement/src/planner/spares.rs
+++ b/crates/placement/src/planner/spares.rs
@@ -5,80 +5,98 @@
 use briartray_model::TimePoint;
 use briartray_model::names::HostName;
 
-use super::group_planner::RoundFrame;
+use super::group_planner::RoundContext;
 use super::pool::PlacePool;
 use super::reason::PlanReason;
 use super::repair::BrokenGroup;
-use super::service::{GroupFate, ServicePlan};
+use super::service::{GroupDisposition, ServicePlan};
 
 /// A load that ends this soon is waited for.
-const WORTH_SAVING: Duration = Duration::from_secs(5);
+const MIN_LOAD_SAVING: Duration = Duration::from_secs(5);
 
 impl ServicePlan<'_> {
     /// Lets spares load ahead while the missing hosts may still come back.
     ///
     /// Whoever is ready first mends the group: a host that only restarted its agent finds its
     /// place kept, and a host that stays away costs no more than the load of its replacement.
-    pub(super) fn mend_with_spares(
+    pub(super) fn repair_with_spares(
         &mut self,
-        frame: &mut RoundFrame<'_>,
+        context: &mut RoundContext<'_>,
         broken: &BrokenGroup<'_>,
     ) {
-        let replace = self.load_seconds(frame, broken.survey.missing.len());
-        let patient = self.weigh(frame, broken, replace).patience_seconds > 0.0;
-        let limit = self.rules.wait_ms as f64 / 1000.0 - broken.away;
-        let reserved = if frame.loads_ahead { self.reserve_spares(frame, broken) } else { None };
+        let replace_seconds = self.load_seconds(context, broken.survey.missing.len());
+        let worth_waiting =
+            self.estimate_wait(context, broken, replace_seconds).max_wait_seconds > 0.0;
+        let wait_limit = self.rules.wait_ms as f64 / 1000.0 - broken.absent_seconds;
+        let reserved =
+            if context.prepares_hosts { self.reserve_spares(context, broken) } else { None };
         let Some((members, ready)) = reserved else {
-            return self.replace_or_wait(frame, broken, replace, PlanReason::UseSpare);
+            return self.replace_or_wait(context, broken, replace_seconds, PlanReason::UseSpare);
         };
-        if ready > frame.now && (patient || limit > 0.0) && !broken.hopeless {
-            let left = ready.since(frame.now).min(Duration::from_secs_f64(limit.max(0.0)));
-            let cost = ready.since(frame.now).as_secs_f64();
-            self.note(frame, broken, PlanReason::WaitForReturn, (cost, Some(replace)));
-            return frame.round.wake_at(frame.now.after(left));
+        if ready > context.now && (worth_waiting || wait_limit > 0.0) && !broken.unrecoverable {
+            let left = ready.since(context.now).min(Duration::from_secs_f64(wait_limit.max(0.0)));
+            let cost = ready.since(context.now).as_secs_f64();
+            self.record_repair_decision(
+                context,
+                broken,
+                PlanReason::WaitForReturn,
+                (cost, Some(replace_seconds)),
+            );
+            return context.round.request_replan(context.now.after(left));
         }
-        frame.replace(broken.index, members);
-        self.fates[broken.at] = GroupFate::Ended;
-        self.mended();
-        let wait = self.expected_wait(frame, broken);
-        let left = ready.since(frame.now).as_secs_f64();
-        self.note(frame, broken, PlanReason::UseSpare, (left, Some(wait)));
+        context.replace(broken.survey_index, members);
+        self.dispositions[broken.slot] = GroupDisposition::Handled;
+        self.count_successor();
+        let wait = self.expected_wait(context, broken);
+        let left = ready.since(context.now).as_secs_f64();
+        self.record_repair_decision(context, broken, PlanReason::UseSpare, (left, Some(wait)));
     }
 
     /// Members with spares in place of those that are missing, and when the last spare is ready;
     /// none when the weight store has no room for a load ahead.
     fn reserve_spares(
         &mut self,
-        frame: &mut RoundFrame<'_>,
+        context: &mut RoundContext<'_>,
         broken: &BrokenGroup<'_>,
     ) -> Option<(Vec<HostName>, TimePoint)> {
-        let said = broken.place?;
+        let place = broken.place?;
         let lacking = broken.survey.missing.len();
-        let room = self.has_room(frame, lacking) && !broken.dark;
-        let seconds = self.load_seconds(frame, lacking);
-        let pool = self.pool.place(&said.provider, &said.domain)?;
-        reserve(frame, pool, broken.index, &broken.survey.missing, room.then_some(seconds))
+        let has_capacity = self.has_load_capacity(context, lacking) && !broken.in_outage;
+        let seconds = self.load_seconds(context, lacking);
+        let pool = self.pool.place(&place.provider, &place.domain)?;
+        reserve(
+            context,
+            pool,
+            broken.survey_index,
+            &broken.survey.missing,
+            has_capacity.then_some(seconds),
+        )
     }
 
     /// Puts spares that are loaded in the place of members that came back and still load.
     ///
     /// A host that returns just before its spare is ready would otherwise keep the group down for
     /// a whole load more, beside a spare that could serve at once.
-    pub(super) fn relieve_loading(&mut self, frame: &mut RoundFrame<'_>) {
-        for at in 0..self.groups.len() {
-            let index = self.groups[at];
-            let survey = &frame.survey.groups[index];
+    pub(super) fn replace_loading_members(&mut self, context: &mut RoundContext<'_>) {
+        for slot in 0..self.groups.len() {
+            let survey_index = self.groups[slot];
+            let survey = &context.survey.groups[survey_index];
             let waits = !survey.group.whole && survey.missing.is_empty();
-            if !waits || self.fates[at] != GroupFate::Keep {
+            if !waits || self.dispositions[slot] != GroupDisposition::Keep {
                 continue;
             }
-            if let Some((members, left)) = self.loaded_spares(frame, index) {
-                frame.replace(index, members);
-                self.fates[at] = GroupFate::Ended;
-                self.mended();
+            if let Some((members, left)) = self.loaded_spares(context, survey_index) {
+                context.replace(survey_index, members);
+                self.dispositions[slot] = GroupDisposition::Handled;
+                self.count_successor();
                 let reason = PlanReason::UseSpare;
-                let costs = (0.0, Some(left * self.worth(0.0)));
-                frame.decide(&self.service.name, Some(survey.group.group), reason, costs);
+                let costs = (0.0, Some(left * self.downtime_cost_rate(0.0)));
+                context.record_decision(
+                    &self.service.name,
+                    Some(survey.group.group),
+                    reason,
+                    costs,
+                );
             }
         }
     }
@@ -87,118 +105,126 @@
     /// none when a spare is not ready, or hardly earlier than the member.
     fn loaded_spares(
         &mut self,
-        frame: &mut RoundFrame<'_>,
-        index: usize,
+        context: &mut RoundContext<'_>,
+        survey_index: usize,
     ) -> Option<(Vec<HostName>, f64)> {
-        let survey = &frame.survey.groups[index];
-        let said = survey.anchor?;
+        let survey = &context.survey.groups[survey_index];
+        let place = survey.present_member?;
         let load = Duration::from_millis(self.rules.load_ms);
-        let pool = self.pool.place(&said.provider, &said.domain)?;
+        let pool = self.pool.place(&place.provider, &place.domain)?;
         let mut members = survey.group.members.clone();
         let loading: Vec<usize> =
-            (0..members.len()).filter(|rank| frame.memory.is_fresh(&members[*rank])).collect();
-        let back = loading.iter().filter_map(|rank| frame.view.hosts.get(&members[*rank]));
+            (0..members.len()).filter(|rank| context.memory.is_unloaded(&members[*rank])).collect();
+        let back = loading.iter().filter_map(|rank| context.view.hosts.get(&members[*rank]));
         let since = back.map(|host| host.since).chain([survey.group.since]).max()?;
-        let left = since.after(load).since(frame.now);
+        let left = since.after(load).since(context.now);
         // With one spare at most for each member the positions cannot clash.
-        if loading.len() != 1 || left < WORTH_SAVING {
+        if loading.len() != 1 || left < MIN_LOAD_SAVING {
             return None;
         }
         let rank = loading[0];
-        let ready = frame.memory.ready_at(frame.now, pool.peek_one(rank)?, rank)?;
-        if ready > frame.now {
-            frame.round.wake_at(ready);
+        let ready = context.memory.ready_at(context.now, pool.peek_for_rank(rank)?, rank)?;
+        if ready > context.now {
+            context.round.request_replan(ready);
             return None;
         }
-        members[rank] = pool.take_one(rank)?;
+        members[rank] = pool.take_for_rank(rank)?;
         Some((members, left.as_secs_f64()))
     }
 
-    pub(super) fn use_spares(&mut self, frame: &mut RoundFrame<'_>, broken: &BrokenGroup<'_>) {
-        let Some(said) = broken.place else { return };
-        let Some(pool) = self.pool.place(&said.provider, &said.domain) else { return };
+    pub(super) fn use_spares(&mut self, context: &mut RoundContext<'_>, broken: &BrokenGroup<'_>) {
+        let Some(place) = broken.place else { return };
+        let Some(pool) = self.pool.place(&place.provider, &place.domain) else { return };
         let mut members = broken.survey.group.members.clone();
         for (rank, member) in members.iter_mut().enumerate() {
             if broken.survey.missing.contains(&&*member)
-                && let Some(spare) = pool.take_one(rank)
+                && let Some(spare) = pool.take_for_rank(rank)
             {
                 *member = spare;
             }
         }
-        frame.replace(broken.index, members);
-        self.fates[broken.at] = GroupFate::Ended;
-        self.mended();
+        context.replace(broken.survey_index, members);
+        self.dispositions[broken.slot] = GroupDisposition::Handled;
+        self.count_successor();
     }
 
     /// Replaces members that are on their way out, one serving group at a time, where no whole
     /// new group can be formed first.
-    pub(super) fn swap_leaving(&mut self, frame: &mut RoundFrame<'_>) {
+    pub(super) fn swap_leaving_members(&mut self, context: &mut RoundContext<'_>) {
         let size = self.size();
         if self.pool.places.iter().any(|place| place.len() >= size) {
             return;
         }
-        for at in 0..self.groups.len() {
-            if self.serving(frame) < self.wanted() {
+        for slot in 0..self.groups.len() {
+            if self.serving(context) < self.wanted() {
                 return;
             }
-            let index = self.groups[at];
-            let survey = &frame.survey.groups[index];
-            let leaving = self.fates[at] == GroupFate::Move(PlanReason::MemberLeaving);
-            if leaving && survey.serves() && self.swap(frame, index) {
-                self.fates[at] = GroupFate::Ended;
-                self.mended();
+            let survey_index = self.groups[slot];
+            let survey = &context.survey.groups[survey_index];
+            let leaving =
+                self.dispositions[slot] == GroupDisposition::Supersede(PlanReason::MemberLeaving);
+            if leaving && survey.serves() && self.swap_members(context, survey_index) {
+                self.dispositions[slot] = GroupDisposition::Handled;
+                self.count_successor();
                 let cost = self.rules.load_ms as f64 / 1000.0;
                 let reason = PlanReason::MemberLeaving;
-                frame.decide(&self.service.name, Some(survey.group.group), reason, (cost, None));
+                context.record_decision(
+                    &self.service.name,
+                    Some(survey.group.group),
+                    reason,
+                    (cost, None),
+                );
             }
         }
     }
 
     /// Swaps the leaving members once their spares are ready; until then the group serves on.
-    fn swap(&mut self, frame: &mut RoundFrame<'_>, index: usize) -> bool {
-        let survey = &frame.survey.groups[index];
-        let Some(said) = survey.anchor else { return false };
-        let room = self.has_room(frame, survey.leaving.len());
-        let seconds = self.load_seconds(frame, survey.leaving.len());
-        let Some(pool) = self.pool.place(&said.provider, &said.domain) else { return false };
+    fn swap_members(&mut self, context: &mut RoundContext<'_>, survey_index: usize) -> bool {
+        let survey = &context.survey.groups[survey_index];
+        let Some(place) = survey.present_member else { return false };
+        let has_capacity = self.has_load_capacity(context, survey.leaving.len());
+        let seconds = self.load_seconds(context, survey.leaving.len());
+        let Some(pool) = self.pool.place(&place.provider, &place.domain) else { return false };
         if pool.len() < survey.leaving.len() {
             return false;
         }
-        let reserved = reserve(frame, pool, index, &survey.leaving, room.then_some(seconds));
+        let reserved =
+            reserve(context, pool, survey_index, &survey.leaving, has_capacity.then_some(seconds));
         let Some((members, ready)) = reserved else { return false };
-        if ready > frame.now {
-            frame.round.wake_at(ready);
+        if ready > context.now {
+            context.round.request_replan(ready);
             return false;
         }
-        frame.replace(index, members);
+        context.replace(survey_index, members);
         true
     }
 }
 
-/// Takes a spare for each member in `out`, and lets it load ahead for `seconds` unless it is or
+/// Takes a spare for each member in `outgoing`, and lets it load ahead for `seconds` unless it is or
 /// soon will be ready; without `seconds` only spares that need no new load will do.
 fn reserve(
-    frame: &mut RoundFrame<'_>,
+    context: &mut RoundContext<'_>,
     pool: &mut PlacePool<'_>,
-    index: usize,
-    out: &[&HostName],
+    survey_index: usize,
+    outgoing: &[&HostName],
     seconds: Option<f64>,
 ) -> Option<(Vec<HostName>, TimePoint)> {
-    let mut members = frame.survey.groups[index].group.members.clone();
+    let mut members = context.survey.groups[survey_index].group.members.clone();
     let ranks: Vec<usize> =
-        (0..members.len()).filter(|rank| out.contains(&&members[*rank])).collect();
-    let seen =
-        |rank: usize| pool.peek_one(rank).and_then(|h| frame.memory.ready_at(frame.now, h, rank));
+        (0..members.len()).filter(|rank| outgoing.contains(&&members[*rank])).collect();
+    let seen = |rank: usize| {
+        pool.peek_for_rank(rank).and_then(|h| context.memory.ready_at(context.now, h, rank))
+    };
     if seconds.is_none() && !ranks.iter().all(|rank| seen(*rank).is_some()) {
         return None;
     }
-    let mut last = frame.now;
+    let mut last = context.now;
     for rank in ranks {
-        let host = pool.take_one(rank)?;
-        let ready = match frame.memory.ready_at(frame.now, &host, rank) {
+        let host = pool.take_for_rank(rank)?;
+        let ready = match context.memory.ready_at(context.now, &host, rank) {
             Some(ready) => ready,
-            None if !frame.loads_ahead => frame.now,
-            None => frame.prepare(index, rank, &host, seconds?),
+            None if !context.prepares_hosts => context.now,
+            None => context.prepare(survey_index, rank, &host, seconds?),
         };
         last = last.max(ready);
         members[rank] = host;
--- a/crates/placement/src/planner/split.rs
+++ b/crates/placement/src/planner/split.rs
@@ -2,10 +2,10 @@
 
 use briartray_model::names::HostName;
 
-use super::group_planner::RoundFrame;
+use super::group_planner::RoundContext;
 use super::reason::PlanReason;
 use super::repair::BrokenGroup;
-use super::service::{GroupFate, ServicePlan};
+use super::service::{GroupDisposition, ServicePlan};
 
 impl ServicePlan<'_> {
     /// Ends another broken group of the same place and takes its members.
@@ -15,57 +15,68 @@
     /// the split includes.
     pub(super) fn split_other(
         &mut self,
-        frame: &mut RoundFrame<'_>,
+        context: &mut RoundContext<'_>,
         broken: &BrokenGroup<'_>,
         order: &[usize],
     ) -> bool {
-        let Some(said) = broken.place else { return false };
+        let Some(place) = broken.place else { return false };
         let lacking = broken.survey.missing.len();
-        let free = self.pool.count(&said.provider, &said.domain);
-        let donor = order.iter().rev().copied().filter(|at| *at != broken.at).find_map(|at| {
-            let donor = self.describe(frame, at);
-            let same = donor
-                .survey
-                .anchor
-                .is_some_and(|d| d.domain == said.domain && d.provider == said.provider);
-            let present = donor.survey.group.members.len() - donor.survey.missing.len();
-            let fits = same
-                && self.fates[at] == GroupFate::Keep
-                && donor.survey.missing.len() >= lacking
-                && present + free >= lacking;
-            fits.then_some(donor)
-        });
+        let free = self.pool.count(&place.provider, &place.domain);
+        let donor =
+            order.iter().rev().copied().filter(|slot| *slot != broken.slot).find_map(|slot| {
+                let donor = self.describe(context, slot);
+                let same = donor
+                    .survey
+                    .present_member
+                    .is_some_and(|d| d.domain == place.domain && d.provider == place.provider);
+                let present = donor.survey.group.members.len() - donor.survey.missing.len();
+                let fits = same
+                    && self.dispositions[slot] == GroupDisposition::Keep
+                    && donor.survey.missing.len() >= lacking
+                    && present + free >= lacking;
+                fits.then_some(donor)
+            });
         let Some(donor) = donor else { return false };
-        let load = self.load_seconds(frame, lacking);
-        let (mine, other) = (self.expected_wait(frame, broken), self.expected_wait(frame, &donor));
-        let price = 2.0 * load + (mine - other).max(0.0);
-        if self.weigh_beyond_limit(frame, broken, price) > 0.0 {
+        let load = self.load_seconds(context, lacking);
+        let (own_wait, donor_wait) =
+            (self.expected_wait(context, broken), self.expected_wait(context, &donor));
+        let cost = 2.0 * load + (own_wait - donor_wait).max(0.0);
+        if self.wait_beyond_limit(context, broken, cost) > 0.0 {
             return false;
         }
-        self.take_members(frame, broken, &donor);
-        self.note(frame, broken, PlanReason::SplitBroken, (price, Some(mine)));
+        self.take_members(context, broken, &donor);
+        self.record_repair_decision(
+            context,
+            broken,
+            PlanReason::SplitBroken,
+            (cost, Some(own_wait)),
+        );
         true
     }
 
     /// Patience of the cost model alone: the rules' longest wait is meant for replacements that
     /// take nothing from anyone else.
-    fn weigh_beyond_limit(
+    fn wait_beyond_limit(
         &self,
-        frame: &RoundFrame<'_>,
+        context: &RoundContext<'_>,
         broken: &BrokenGroup<'_>,
-        price: f64,
+        cost: f64,
     ) -> f64 {
-        if broken.hopeless {
+        if broken.unrecoverable {
             return 0.0;
         }
-        let load = self.load_seconds(frame, 1);
-        let model = if broken.dark { &frame.memory.domains } else { &frame.memory.hosts };
-        model.weigh(&self.rules, broken.away, load, price).patience_seconds
+        let load = self.load_seconds(context, 1);
+        let model = if broken.in_outage {
+            &context.memory.domain_absences
+        } else {
+            &context.memory.host_absences
+        };
+        model.estimate_wait(&self.rules, broken.absent_seconds, load, cost).max_wait_seconds
     }
 
     fn take_members(
         &mut self,
-        frame: &mut RoundFrame<'_>,
+        context: &mut RoundContext<'_>,
         broken: &BrokenGroup<'_>,
         donor: &BrokenGroup<'_>,
     ) {
@@ -89,48 +100,51 @@
                 *member = offered.remove(same).1;
             }
         }
-        frame.dissolve(donor.index);
-        frame.replace(broken.index, members);
-        self.fates[donor.at] = GroupFate::Ended;
-        self.fates[broken.at] = GroupFate::Ended;
-        self.mended();
+        context.dissolve(donor.survey_index);
+        context.replace(broken.survey_index, members);
+        self.dispositions[donor.slot] = GroupDisposition::Handled;
+        self.dispositions[broken.slot] = GroupDisposition::Handled;
+        self.count_successor();
     }
 
     /// The last resort: hosts of another fabric domain of the same provider.
     pub(super) fn cross_domains(
         &mut self,
-        frame: &mut RoundFrame<'_>,
+        context: &mut RoundContext<'_>,
         broken: &BrokenGroup<'_>,
     ) -> bool {
-        let Some(said) = broken.place.filter(|_| self.rules.cross_domain) else { return false };
+        let Some(place) = broken.place.filter(|_| self.rules.cross_domain) else { return false };
         let lacking = broken.survey.missing.len();
-        if self.pool.count_provider(&said.provider) < lacking || broken.survey.anchor.is_none() {
+        if self.pool.count_provider(&place.provider) < lacking
+            || broken.survey.present_member.is_none()
+        {
             return false;
         }
         // A slow group loses part of its worth to callers and strands nobody, so the more stranded
         // accelerators weigh, the sooner fabric domains are crossed.
         let lost = f64::from(self.rules.cross_domain_loss_percent) / 100.0;
-        let slow = lost * self.rules.downtime_weight / self.worth_of(broken).max(f64::MIN_POSITIVE);
-        let wait = self.expected_wait(frame, broken);
-        let price = self.load_seconds(frame, lacking) + slow * wait;
-        if self.weigh_beyond_limit(frame, broken, price) > 0.0 {
+        let slow = lost * self.rules.downtime_weight
+            / self.broken_cost_rate(broken).max(f64::MIN_POSITIVE);
+        let wait = self.expected_wait(context, broken);
+        let cost = self.load_seconds(context, lacking) + slow * wait;
+        if self.wait_beyond_limit(context, broken, cost) > 0.0 {
             return false;
         }
         let mut members = broken.survey.group.members.clone();
         for (rank, member) in members.iter_mut().enumerate() {
             if broken.survey.missing.contains(&&*member) {
                 let pools = self.pool.places.iter_mut();
-                let mut pools: Vec<_> = pools.filter(|p| p.provider == &said.provider).collect();
-                pools.sort_by_key(|pool| (*pool.domain != said.domain, pool.len()));
-                if let Some(host) = pools.iter_mut().find_map(|pool| pool.take_one(rank)) {
+                let mut pools: Vec<_> = pools.filter(|p| p.provider == &place.provider).collect();
+                pools.sort_by_key(|pool| (*pool.domain != place.domain, pool.len()));
+                if let Some(host) = pools.iter_mut().find_map(|pool| pool.take_for_rank(rank)) {
                     *member = host;
                 }
             }
         }
-        frame.replace(broken.index, members);
-        self.fates[broken.at] = GroupFate::Ended;
-        self.mended();
-        self.note(frame, broken, PlanReason::CrossDomain, (price, Some(wait)));
+        context.replace(broken.survey_index, members);
+        self.dispositions[broken.slot] = GroupDisposition::Handled;
+        self.count_successor();
+        self.record_repair_decision(context, broken, PlanReason::CrossDomain, (cost, Some(wait)));
         true
     }
 }
--- a/crates/placement/src/planner/survey.rs
+++ b/crates/placement/src/planner/survey.rs
@@ -14,7 +14,7 @@
     /// Members that are there and on their way out.
     pub(super) leaving: Vec<&'a HostName>,
     /// A member that is there; tells provider and fabric domain.
-    pub(super) anchor: Option<&'a HostAnnouncement>,
+    pub(super) present_member: Option<&'a HostAnnouncement>,
     present: usize,
 }
 
@@ -56,7 +56,7 @@
     /// Looks at every host once and at the members of groups that lack some.
     pub(super) fn take(view: &'a FleetView) -> Self {
         let mut survey = Self {
-            groups: view.groups.values().map(empty_survey).collect(),
+            groups: view.groups.values().map(group_survey).collect(),
             free: Vec::new(),
             absent: Vec::new(),
             domains: Vec::new(),
@@ -64,7 +64,7 @@
         let ids: Vec<GroupId> = view.groups.keys().copied().collect();
         let mut last = 0;
         for host in view.hosts.values() {
-            survey.note(host, &ids, &mut last);
+            survey.add_host(host, &ids, &mut last);
         }
         for group in &mut survey.groups {
             if group.present < group.group.members.len() {
@@ -81,20 +81,20 @@
     }
 
     /// Whether most grouped hosts of `domain` are missing at the same time.
-    pub(super) fn is_dark(&self, domain: &DomainName) -> bool {
+    pub(super) fn has_outage(&self, domain: &DomainName) -> bool {
         self.domains
             .binary_search_by(|count| count.domain.cmp(domain))
-            .is_ok_and(|index| self.domains[index].is_dark())
+            .is_ok_and(|index| self.domains[index].has_outage())
     }
 
     /// Whether a member of a group is missing in `domain`.
-    pub(super) fn lacks_hosts(&self, domain: &DomainName) -> bool {
+    pub(super) fn has_absent_members(&self, domain: &DomainName) -> bool {
         self.domains
             .binary_search_by(|count| count.domain.cmp(domain))
             .is_ok_and(|index| self.domains[index].absent > 0)
     }
 
-    fn note(&mut self, host: &'a HostView, ids: &[GroupId], last: &mut usize) {
+    fn add_host(&mut self, host: &'a HostView, ids: &[GroupId], last: &mut usize) {
         if !host.present {
             self.absent.push(host);
         }
@@ -104,14 +104,14 @@
             }
             return;
         };
-        self.count(host, last);
+        self.count_in_domain(host, last);
         let Ok(index) = ids.binary_search(&id) else { return };
         if !host.present {
             return;
         }
         let group = &mut self.groups[index];
         group.present += 1;
-        group.anchor = group.anchor.or(Some(&host.announcement));
+        group.present_member = group.present_member.or(Some(&host.announcement));
         if host.announcement.leaving {
             group.leaving.push(&host.announcement.host);
         }
@@ -119,7 +119,7 @@
 
     /// Counts the host for its fabric domain; neighbours mostly share one, so the last is tried
     /// first.
-    fn count(&mut self, host: &'a HostView, last: &mut usize) {
+    fn count_in_domain(&mut self, host: &'a HostView, last: &mut usize) {
         let domain = &host.announcement.domain;
         if self.domains.get(*last).is_none_or(|count| count.domain != domain) {
             *last = match self.domains.binary_search_by(|count| count.domain.cmp(domain)) {
@@ -140,26 +140,32 @@
 
 impl DomainCount<'_> {
     /// Fewer missing hosts than this are taken for single losses.
-    const DARK_HOSTS: usize = 4;
+    const OUTAGE_MIN_HOSTS: usize = 4;
 
-    pub(super) fn is_dark(&self) -> bool {
-        self.absent >= Self::DARK_HOSTS && self.absent > self.present
+    pub(super) fn has_outage(&self) -> bool {
+        self.absent >= Self::OUTAGE_MIN_HOSTS && self.absent > self.present
     }
 }
 
-fn empty_survey(group: &GroupView) -> GroupSurvey<'_> {
-    GroupSurvey { group, missing: Vec::new(), leaving: Vec::new(), anchor: None, present: 0 }
+fn group_survey(group: &GroupView) -> GroupSurvey<'_> {
+    GroupSurvey {
+        group,
+        missing: Vec::new(),
+        leaving: Vec::new(),
+        present_member: None,
+        present: 0,
+    }
 }
 
 type PlaceKey<'a> = (&'a ServiceName, &'a ProviderName, &'a DomainName, &'a HostName);
 
 fn place_key(host: &HostView) -> PlaceKey<'_> {
-    let said = &host.announcement;
-    (&said.service, &said.provider, &said.domain, &said.host)
+    let announcement = &host.announcement;
+    (&announcement.service, &announcement.provider, &announcement.domain, &announcement.host)
 }
 
 /// The groups of one service, by position in the survey.
-pub(super) fn of_service(survey: &FleetSurvey<'_>, service: &ServiceName) -> Vec<usize> {
+pub(super) fn groups_of_service(survey: &FleetSurvey<'_>, service: &ServiceName) -> Vec<usize> {
     (0..survey.groups.len())
         .filter(|index| survey.groups[*index].group.service == *service)
         .collect()
--- a/crates/placement/src/planner/view.rs
+++ b/crates/placement/src/planner/view.rs
@@ -1,15 +1,15 @@
-//! What a planner sees and what it may ask for.
+//! Input and output of a planner: the view of the fleet, and actions on its groups.
 
 use briartray_model::message::HostAnnouncement;
 use briartray_model::names::{GroupId, HostName, ServiceName};
 use briartray_model::{SortedTable, TimePoint};
 
-/// One host that has announced itself.
+/// A host that has announced itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostView {
-    /// What it said.
+    /// Its latest announcement.
     pub announcement: HostAnnouncement,
-    /// Whether its agent is connected now.
+    /// Whether its agent is connected.
     pub present: bool,
     /// When `present` last changed.
     pub since: TimePoint,
@@ -17,24 +17,24 @@
     pub group: Option<GroupId>,
 }
 
-/// One group in the registry.
+/// A group in the registry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupView {
-    /// The group.
+    /// Identifier of the group.
     pub group: GroupId,
     /// Service it serves.
     pub service: ServiceName,
-    /// Its hosts in order.
+    /// Its hosts, in order of rank.
     pub members: Vec<HostName>,
-    /// Whether it is whole, as its first host reports.
+    /// Whether its first host reports that it holds the leases of all members.
     pub whole: bool,
     /// When `whole` last changed.
     pub since: TimePoint,
-    /// Whether a member listens at another address than the group was formed with.
+    /// Whether a member now listens at another address than the assignment of the group names.
     pub stale_links: bool,
 }
 
-/// Everything a planner decides on.
+/// Everything that a planner bases its decisions on, besides the rules.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FleetView {
     /// Hosts by name.
@@ -43,41 +43,42 @@
     pub groups: SortedTable<GroupId, GroupView>,
 }
 
-/// What a planner asks for.
+/// An action that a planner requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanAction {
-    /// Form a group of these hosts, the first of which admits requests.
+    /// Forms a group, whose first host admits requests.
     Form {
         /// Service it serves.
         service: ServiceName,
-        /// Its hosts in order.
+        /// Its hosts, in order of rank.
         members: Vec<HostName>,
     },
-    /// Put a group with other members in the place of one; members that stay keep their position.
+    /// Replaces a group by one with other members; members of both keep their rank.
     Replace {
-        /// The group that ends.
+        /// The group to replace.
         group: GroupId,
         /// Service it serves.
         service: ServiceName,
-        /// Hosts of its successor in order.
+        /// Hosts of its successor, in order of rank.
         members: Vec<HostName>,
     },
-    /// Load the weights of a position onto a free host, which stays free.
+    /// Loads the weights of a rank onto a free host before it joins a group.
     ///
-    /// This changes no membership and binds nobody; a host that does not get to it loads later.
+    /// Membership does not change. It is a hint: a host that ignores it loads the weights once it
+    /// has joined a group.
     Prepare {
-        /// The host.
+        /// Host that loads the weights.
         host: HostName,
         /// Service it is meant for.
         service: ServiceName,
-        /// Position in a group, from zero.
+        /// Rank in a group, from zero.
         rank: u32,
-        /// Hosts of such a group.
+        /// Number of hosts in such a group.
         size: u32,
     },
-    /// Dissolve a group and free its hosts.
+    /// Dissolves a group and frees its hosts.
     Dissolve {
-        /// The group.
+        /// The group to dissolve.
         group: GroupId,
     },
 }
--- a/crates/placement/src/replay/engine.rs
+++ b/crates/placement/src/replay/engine.rs
@@ -10,34 +10,34 @@
 struct HostLoad {
     shard: ShardKey,
     /// Seconds left at full speed.
-    left: f64,
+    seconds_left: f64,
 }
 
 /// Weights on hosts and loads in progress.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct EngineFleet {
-    held: SortedTable<HostName, ShardKey>,
+    loaded: SortedTable<HostName, ShardKey>,
     loads: SortedTable<HostName, HostLoad>,
     load_seconds: f64,
-    parallel: u32,
+    parallel_loads: u32,
 }
 
 impl EngineFleet {
-    pub(super) fn new(load_seconds: f64, parallel: u32) -> Self {
-        Self { load_seconds, parallel, ..Self::default() }
+    pub(super) fn new(load_seconds: f64, parallel_loads: u32) -> Self {
+        Self { load_seconds, parallel_loads, ..Self::default() }
     }
 
-    pub(super) fn set_parallel(&mut self, parallel: u32) {
-        self.parallel = parallel;
+    pub(super) fn set_parallel_loads(&mut self, parallel_loads: u32) {
+        self.parallel_loads = parallel_loads;
     }
 
     /// Whether `host` is ready to work as `shard`.
     pub(super) fn is_ready(&self, host: &HostName, shard: ShardKey) -> bool {
-        self.held.get(host) == Some(&shard)
+        self.loaded.get(host) == Some(&shard)
     }
 
     /// Orders `host` to hold `shard`; a load in progress for the same goes on.
-    pub(super) fn order(&mut self, host: &HostName, shard: ShardKey) {
+    pub(super) fn request_load(&mut self, host: &HostName, shard: ShardKey) {
         if self.is_ready(host, shard) {
             self.loads.remove(host);
             return;
@@ -45,47 +45,47 @@
         if self.loads.get(host).is_some_and(|load| load.shard == shard) {
             return;
         }
-        self.held.remove(host);
-        self.loads.insert(host.clone(), HostLoad { shard, left: self.load_seconds });
+        self.loaded.remove(host);
+        self.loads.insert(host.clone(), HostLoad { shard, seconds_left: self.load_seconds });
     }
 
     /// Ends a load, as when the host vanishes or is freed.
-    pub(super) fn cancel(&mut self, host: &HostName) {
+    pub(super) fn cancel_load(&mut self, host: &HostName) {
         self.loads.remove(host);
     }
 
     /// Forgets the weights of a host whose engine restarted.
-    pub(super) fn forget(&mut self, host: &HostName) {
-        self.held.remove(host);
+    pub(super) fn discard_weights(&mut self, host: &HostName) {
+        self.loaded.remove(host);
         self.loads.remove(host);
     }
 
     /// Seconds until the next load ends.
-    pub(super) fn next_end(&self) -> Option<f64> {
-        let least = self.loads.values().map(|load| load.left).reduce(f64::min)?;
-        Some(least / self.speed())
+    pub(super) fn next_load_end(&self) -> Option<f64> {
+        let least = self.loads.values().map(|load| load.seconds_left).reduce(f64::min)?;
+        Some(least / self.load_speed())
     }
 
     /// Lets `seconds` pass; returns the hosts whose loads ended.
     pub(super) fn advance(&mut self, seconds: f64) -> Vec<HostName> {
-        let done = seconds * self.speed();
-        let held = &mut self.held;
+        let progress = seconds * self.load_speed();
+        let loaded = &mut self.loaded;
         let mut ended = Vec::new();
         self.loads.retain(|host, load| {
-            load.left -= done;
-            let goes_on = load.left > ROUNDING_SECONDS;
-            if !goes_on {
-                held.insert(host.clone(), load.shard);
+            load.seconds_left -= progress;
+            let unfinished = load.seconds_left > LOAD_END_TOLERANCE_SECONDS;
+            if !unfinished {
+                loaded.insert(host.clone(), load.shard);
                 ended.push(host.clone());
             }
-            goes_on
+            unfinished
         });
         ended
     }
 
-    fn speed(&self) -> f64 {
+    fn load_speed(&self) -> f64 {
         let running = self.loads.len() as f64;
-        match self.parallel {
+        match self.parallel_loads {
             0 => 1.0,
             limit => (f64::from(limit) / running.max(1.0)).min(1.0),
         }
@@ -93,4 +93,4 @@
 }
 
 /// Time points are whole microseconds; what is left below a few of them is done.
-const ROUNDING_SECONDS: f64 = 5e-6;
+const LOAD_END_TOLERANCE_SECONDS: f64 = 5e-6;
--- a/crates/placement/src/replay/fleet.rs
+++ b/crates/placement/src/replay/fleet.rs
@@ -10,19 +10,19 @@
 use briartray_model::{SortedTable, TimePoint};
 
 use super::engine::EngineFleet;
-use super::registry::NaiveRegistry;
+use super::registry::ReferenceRegistry;
 use super::trace::{TraceEvent, TraceHeader, WeightState};
 use crate::accounting::{FleetAccount, FleetRates};
 use crate::planner::{FleetView, GroupView, HostView, PlanAction, command_for};
 
 /// Time for the members' leases after a group is formed or its last host is ready.
-const LEASE_SETUP: Duration = Duration::from_secs(1);
+const LEASE_SETUP_TIME: Duration = Duration::from_secs(1);
 
 /// How long a host that went away and belongs to no group is remembered.
-const FORGET_AFTER: Duration = Duration::from_secs(3600);
+const ABSENT_HOST_RETENTION: Duration = Duration::from_secs(3600);
 
 /// How often hosts that went away are looked through.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The state of a replay between two events.
 #[derive(Debug, Clone, PartialEq)]
@@ -32,21 +32,21 @@
     book: RuleBook,
     view: FleetView,
     engines: EngineFleet,
-    naive: NaiveRegistry,
+    reference: ReferenceRegistry,
     /// Groups whose hosts are ready and that serve from then on.
-    opening: SortedTable<GroupId, TimePoint>,
+    activations: SortedTable<GroupId, TimePoint>,
     /// Hosts that come back later along with their fabric domain.
-    returning: Vec<(TimePoint, HostName, WeightState)>,
+    scheduled_returns: Vec<(TimePoint, HostName, WeightState)>,
     rates: FleetRates,
     account: FleetAccount,
     measure_from: TimePoint,
-    forgot_at: TimePoint,
-    stale: bool,
+    cleaned_up_at: TimePoint,
+    rates_outdated: bool,
     formed: u64,
     replaced: u64,
     dissolved: u64,
     refused: u64,
-    changes_id: u128,
+    last_change_id: u128,
 }
 
 impl ReplayFleet {
@@ -59,19 +59,19 @@
             book: RuleBook::default(),
             view: FleetView::default(),
             engines: EngineFleet::new(load, header.parallel_loads),
-            naive: NaiveRegistry::default(),
-            opening: SortedTable::default(),
-            returning: Vec::new(),
+            reference: ReferenceRegistry::default(),
+            activations: SortedTable::default(),
+            scheduled_returns: Vec::new(),
             rates: FleetRates::default(),
             account: FleetAccount::default(),
             measure_from: from_ms(header.measure_from_ms),
-            forgot_at: TimePoint::default(),
-            stale: true,
+            cleaned_up_at: TimePoint::default(),
+            rates_outdated: true,
             formed: 0,
             replaced: 0,
             dissolved: 0,
             refused: 0,
-            changes_id: 0,
+            last_change_id: 0,
         };
         fleet.apply_rules(&header.rules);
         fleet
@@ -103,8 +103,8 @@
     }
 
     /// The naive registry with what it found wrong.
-    pub fn naive(&self) -> &NaiveRegistry {
-        &self.naive
+    pub fn reference(&self) -> &ReferenceRegistry {
+        &self.reference
     }
 
     /// Commands that took effect: groups formed, replaced, dissolved; and commands refused.
@@ -119,54 +119,54 @@
 
     /// When something happens next by itself: a load ends, a group opens, a host returns.
     pub fn next_change(&self) -> Option<TimePoint> {
-        let load = self.engines.next_end().map(|left| {
+        let load = self.engines.next_load_end().map(|left| {
             // Rounded up, so that the load has ended when its time has come.
             self.now.after(Duration::from_secs_f64(left) + Duration::from_micros(1))
         });
-        let opening = self.opening.values().copied().min();
-        let returning = self.returning.iter().map(|(when, _, _)| *when).min();
-        [load, opening, returning].into_iter().flatten().min()
+        let activations = self.activations.values().copied().min();
+        let scheduled_returns = self.scheduled_returns.iter().map(|(when, _, _)| *when).min();
+        [load, activations, scheduled_returns].into_iter().flatten().min()
     }
 
     /// Lets time pass up to `when`, which is no later than the next change.
     ///
     /// Returns whether anything changed that a planner would want to see.
     pub fn advance(&mut self, when: TimePoint) -> bool {
-        self.count_until(when);
+        self.account_until(when);
         let ended = self.engines.advance(when.since(self.now).as_secs_f64());
         self.now = when;
         let mut changed = !ended.is_empty();
         for host in ended {
             if let Some(group) = self.view.hosts.get(&host).and_then(|host| host.group) {
-                self.refresh(group);
+                self.update_group(group);
             }
         }
-        changed |= self.open_groups();
-        changed |= self.take_returns();
-        self.stale |= changed;
+        changed |= self.activate_groups();
+        changed |= self.apply_returns();
+        self.rates_outdated |= changed;
         changed
     }
 
     /// Takes in an event that happens now; statements are not events of the fleet.
     pub fn apply(&mut self, event: &TraceEvent) {
-        self.stale = true;
+        self.rates_outdated = true;
         match event {
             TraceEvent::Arrive { .. } => self.arrive(event),
-            TraceEvent::Lost { host } => self.lose(host),
-            TraceEvent::Back { host, weights } => self.bring_back(host, *weights),
+            TraceEvent::Lost { host } => self.lose_host(host),
+            TraceEvent::Back { host, weights } => self.restore_host(host, *weights),
             TraceEvent::Leaving { host } => {
                 if let Some(host) = self.view.hosts.get_mut(host) {
                     host.announcement.leaving = true;
                 }
             }
             TraceEvent::DomainDark { domain } => {
-                self.hosts_of(domain).iter().for_each(|host| self.lose(host));
+                self.hosts_of(domain).iter().for_each(|host| self.lose_host(host));
             }
             TraceEvent::DomainBack { domain, weights, spread_ms } => {
                 self.schedule_returns(domain, *weights, *spread_ms);
             }
             TraceEvent::WeightStore { parallel_loads } => {
-                self.engines.set_parallel(*parallel_loads);
+                self.engines.set_parallel_loads(*parallel_loads);
             }
             TraceEvent::Rules { rules } => self.apply_rules(rules),
             _ => {}
@@ -175,7 +175,7 @@
 
     /// Carries out what a planner asks for.
     pub fn act(&mut self, action: &PlanAction) {
-        self.stale = true;
+        self.rates_outdated = true;
         if let PlanAction::Prepare { host, rank, size, .. } = action {
             self.prepare(host, (*rank as usize, *size as usize));
             return;
@@ -190,17 +190,17 @@
             _ => None,
         };
         let outcome = self.state.apply(&command);
-        self.naive.check(&command, &outcome, &self.state);
+        self.reference.check(&command, &outcome, &self.state);
         match &outcome {
             CommandOutcome::GroupFormed { group, .. } => {
                 self.replaced += u64::from(old.is_some());
                 self.formed += u64::from(old.is_none());
-                old.iter().for_each(|old| self.take_down(old));
-                self.set_up(*group);
+                old.iter().for_each(|old| self.remove_group(old));
+                self.add_group(*group);
             }
             CommandOutcome::GroupDissolved { .. } => {
                 self.dissolved += 1;
-                old.iter().for_each(|old| self.take_down(old));
+                old.iter().for_each(|old| self.remove_group(old));
             }
             _ => self.refused += 1,
         }
@@ -209,13 +209,13 @@
     fn prepare(&mut self, host: &HostName, shard: (usize, usize)) {
         let free = |view: &&HostView| view.present && view.group.is_none();
         if self.view.hosts.get(host).filter(free).is_some() {
-            self.engines.order(host, shard);
+            self.engines.request_load(host, shard);
         }
     }
 
-    fn count_until(&mut self, when: TimePoint) {
-        if std::mem::take(&mut self.stale) {
-            self.forget_hosts();
+    fn account_until(&mut self, when: TimePoint) {
+        if std::mem::take(&mut self.rates_outdated) {
+            self.drop_absent_hosts();
             self.rates = FleetRates::take(&self.view, &self.book);
         }
         if when <= self.measure_from {
@@ -225,14 +225,14 @@
         }
     }
 
-    fn forget_hosts(&mut self) {
+    fn drop_absent_hosts(&mut self) {
         let now = self.now;
-        if now.since(self.forgot_at) < FORGET_EVERY {
+        if now.since(self.cleaned_up_at) < CLEANUP_INTERVAL {
             return;
         }
-        self.forgot_at = now;
+        self.cleaned_up_at = now;
         self.view.hosts.retain(|_, host| {
-            host.present || host.group.is_some() || now.since(host.since) < FORGET_AFTER
+            host.present || host.group.is_some() || now.since(host.since) < ABSENT_HOST_RETENTION
         });
     }
 
@@ -255,21 +255,21 @@
         };
         let group = self.state.groups.seat(host).group;
         let view = HostView { announcement, present: true, since: self.now, group };
-        self.engines.forget(host);
+        self.engines.discard_weights(host);
         self.view.hosts.insert(host.clone(), view);
-        self.follow(host);
+        self.host_changed(host);
     }
 
-    fn lose(&mut self, name: &HostName) {
+    fn lose_host(&mut self, name: &HostName) {
         let now = self.now;
         let Some(host) = self.view.hosts.get_mut(name).filter(|host| host.present) else { return };
         host.present = false;
         host.since = now;
-        self.engines.cancel(name);
-        self.follow(name);
+        self.engines.cancel_load(name);
+        self.host_changed(name);
     }
 
-    fn bring_back(&mut self, name: &HostName, weights: WeightState) {
+    fn restore_host(&mut self, name: &HostName, weights: WeightState) {
         let now = self.now;
         let Some(host) = self.view.hosts.get_mut(name).filter(|host| !host.present) else {
             return;
@@ -279,14 +279,17 @@
         host.announcement.leaving = false;
         if weights == WeightState::Lost {
             host.announcement.incarnation += 1;
-            self.engines.forget(name);
+            self.engines.discard_weights(name);
         }
-        self.follow(name);
+        self.host_changed(name);
     }
 
     fn hosts_of(&self, domain: &DomainName) -> Vec<HostName> {
         let hosts = self.view.hosts.values().map(|host| &host.announcement);
-        hosts.filter(|said| said.domain == *domain).map(|said| said.host.clone()).collect()
+        hosts
+            .filter(|announcement| announcement.domain == *domain)
+            .map(|announcement| announcement.host.clone())
+            .collect()
     }
 
     fn schedule_returns(&mut self, domain: &DomainName, weights: WeightState, spread_ms: u64) {
@@ -296,23 +299,24 @@
             // An odd multiplier spreads neighbours, so that groups do not come back in order.
             let slot = (index as u64 * 7919) % count;
             let when = self.now.after(Duration::from_millis(1 + spread_ms * slot / count));
-            self.returning.push((when, host, weights));
+            self.scheduled_returns.push((when, host, weights));
         }
     }
 
-    fn take_returns(&mut self) -> bool {
+    fn apply_returns(&mut self) -> bool {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.returning).into_iter().partition(|(when, ..)| *when <= now);
-        self.returning = later;
-        due.iter().for_each(|(_, host, weights)| self.bring_back(host, *weights));
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.scheduled_returns)
+            .into_iter()
+            .partition(|(when, ..)| *when <= now);
+        self.scheduled_returns = later;
+        due.iter().for_each(|(_, host, weights)| self.restore_host(host, *weights));
         !due.is_empty()
     }
 
-    fn open_groups(&mut self) -> bool {
+    fn activate_groups(&mut self) -> bool {
         let (now, groups) = (self.now, &mut self.view.groups);
-        let before = self.opening.len();
-        self.opening.retain(|group, when| {
+        let before = self.activations.len();
+        self.activations.retain(|group, when| {
             let due = *when <= now;
             if let Some(group) = groups.get_mut(group).filter(|_| due) {
                 group.whole = true;
@@ -320,23 +324,23 @@
             }
             !due
         });
-        self.opening.len() != before
+        self.activations.len() != before
     }
 
     /// Lets the group of `host` know that the host changed.
-    fn follow(&mut self, host: &HostName) {
+    fn host_changed(&mut self, host: &HostName) {
         let Some(id) = self.view.hosts.get(host).and_then(|host| host.group) else { return };
         let Some(group) = self.view.groups.get(&id) else { return };
         let present = self.view.hosts.get(host).is_some_and(|host| host.present);
         let rank = group.members.iter().position(|member| member == host);
         if let Some(rank) = rank.filter(|_| present) {
-            self.engines.order(host, (rank, group.members.len()));
+            self.engines.request_load(host, (rank, group.members.len()));
         }
-        self.refresh(id);
+        self.update_group(id);
     }
 
     /// Works out whether a group is about to serve or has ceased to.
-    fn refresh(&mut self, id: GroupId) {
+    fn update_group(&mut self, id: GroupId) {
         let Some(group) = self.view.groups.get(&id) else { return };
         let size = group.members.len();
         let ready = group.members.iter().enumerate().all(|(rank, host)| {
@@ -345,31 +349,31 @@
         });
         let whole = group.whole;
         if !ready {
-            self.opening.remove(&id);
+            self.activations.remove(&id);
             if let Some(group) = self.view.groups.get_mut(&id).filter(|_| whole) {
                 group.whole = false;
                 group.since = self.now;
             }
-        } else if !whole && !self.opening.contains_key(&id) {
-            self.opening.insert(id, self.now.after(LEASE_SETUP));
+        } else if !whole && !self.activations.contains_key(&id) {
+            self.activations.insert(id, self.now.after(LEASE_SETUP_TIME));
         }
     }
 
-    fn take_down(&mut self, old: &GroupView) {
+    fn remove_group(&mut self, old: &GroupView) {
         self.view.groups.remove(&old.group);
-        self.opening.remove(&old.group);
+        self.activations.remove(&old.group);
         for name in &old.members {
             let seat = self.state.groups.seat(name).group;
             if let Some(host) = self.view.hosts.get_mut(name) {
                 host.group = seat;
             }
             if seat.is_none() {
-                self.engines.cancel(name);
+                self.engines.cancel_load(name);
             }
         }
     }
 
-    fn set_up(&mut self, id: GroupId) {
+    fn add_group(&mut self, id: GroupId) {
         let Some(registered) = self.state.groups.group(id) else { return };
         let assignment = &registered.assignment;
         let members: Vec<HostName> = assignment.members.iter().map(|m| m.host.clone()).collect();
@@ -378,7 +382,7 @@
             if let Some(host) = self.view.hosts.get_mut(name) {
                 host.group = Some(id);
                 if host.present {
-                    self.engines.order(name, (rank, size));
+                    self.engines.request_load(name, (rank, size));
                 }
             }
         }
@@ -387,13 +391,13 @@
         let (whole, stale_links) = (false, false);
         let view = GroupView { group: id, service, members, whole, since, stale_links };
         self.view.groups.insert(id, view);
-        self.refresh(id);
+        self.update_group(id);
     }
 
     fn apply_rules(&mut self, document: &RuleDocument) {
-        self.changes_id += 1;
+        self.last_change_id += 1;
         let text = serde_json::to_string(document).unwrap_or_default();
-        let change = ChangeId(self.changes_id);
+        let change = ChangeId(self.last_change_id);
         let command = ControlCommand::ApplyRules { change, expect: None, text };
         let outcome = self.state.apply(&command);
         let current = self.state.rules.current();
--- a/crates/placement/src/replay/generate/shape.rs
+++ b/crates/placement/src/replay/generate/shape.rs
@@ -87,25 +87,25 @@
 const FAILURE_RATE: f64 = 21.0 / 11_000.0;
 
 /// Weights of a firm that loses a sale with every minute down.
-pub(super) const DOWNTIME_FIRST: (f64, f64) = (1000.0, 1.0);
+pub(super) const DOWNTIME_FIRST_WEIGHTS: (f64, f64) = (1000.0, 1.0);
 
 /// Weights of a firm that pays for every idle accelerator.
-pub(super) const STRANDED_FIRST: (f64, f64) = (10.0, 1.0);
+pub(super) const STRANDED_FIRST_WEIGHTS: (f64, f64) = (10.0, 1.0);
 
 impl FleetShape {
     pub(super) fn of(shape: TraceShape) -> Self {
         match shape {
-            TraceShape::Parkland => today("desk", 4, 1, DOWNTIME_FIRST),
-            TraceShape::Hollis => today("drafting", 3, 2, STRANDED_FIRST),
-            TraceShape::Design => design(),
-            TraceShape::Large => large(),
+            TraceShape::Parkland => customer_fleet("desk", 4, 1, DOWNTIME_FIRST_WEIGHTS),
+            TraceShape::Hollis => customer_fleet("drafting", 3, 2, STRANDED_FIRST_WEIGHTS),
+            TraceShape::Design => design_fleet(),
+            TraceShape::Large => large_fleet(),
             TraceShape::Mixed => Self {
                 power_cuts: 2,
                 switches: 4,
                 zone_losses: 1,
                 migrations: 3,
                 stop_rate: 0.004,
-                ..design()
+                ..design_fleet()
             },
         }
     }
@@ -176,7 +176,7 @@
     }
 }
 
-const ENGINE: ServiceShape = ServiceShape {
+const ENGINE_SERVICE: ServiceShape = ServiceShape {
     name: "engine",
     kind: ServiceKind::Engine,
     hosts: 4,
@@ -186,14 +186,14 @@
     spare_every: 1,
 };
 
-fn today(
+fn customer_fleet(
     name: &'static str,
     hosts: u32,
     spare_every: u32,
     (downtime_weight, stranded_weight): (f64, f64),
 ) -> FleetShape {
-    let engine = ServiceShape { name, hosts, spare_every, ..ENGINE };
-    let ledger = ServiceShape {
+    let engine = ServiceShape { name, hosts, spare_every, ..ENGINE_SERVICE };
+    let plain_service = ServiceShape {
         name: if name == "desk" { "pricing" } else { "records" },
         kind: ServiceKind::Plain,
         hosts: 1,
@@ -205,7 +205,7 @@
     FleetShape {
         zones: 3,
         domains_per_zone: 2,
-        services: vec![engine, ledger],
+        services: vec![engine, plain_service],
         days: 30.0,
         restart_rate: RESTART_RATE,
         failure_rate: FAILURE_RATE,
@@ -222,9 +222,11 @@
 }
 
 /// Hosts of two accelerators: 10,800 in 2,800 replicas, and one spare host in each domain.
-fn design() -> FleetShape {
-    let chat = ServiceShape { name: "chat", hosts: 4, replicas: 2600, accelerators: 2, ..ENGINE };
-    let draft = ServiceShape { name: "draft", hosts: 2, replicas: 200, accelerators: 2, ..ENGINE };
+fn design_fleet() -> FleetShape {
+    let chat =
+        ServiceShape { name: "chat", hosts: 4, replicas: 2600, accelerators: 2, ..ENGINE_SERVICE };
+    let draft =
+        ServiceShape { name: "draft", hosts: 2, replicas: 200, accelerators: 2, ..ENGINE_SERVICE };
     FleetShape {
         zones: 29,
         domains_per_zone: 4,
@@ -239,20 +241,20 @@
         migrations: 0,
         load_ms: 120_000,
         parallel_loads: 64,
-        downtime_weight: DOWNTIME_FIRST.0,
-        stranded_weight: DOWNTIME_FIRST.1,
+        downtime_weight: DOWNTIME_FIRST_WEIGHTS.0,
+        stranded_weight: DOWNTIME_FIRST_WEIGHTS.1,
     }
 }
 
 /// Hosts of one accelerator: 21,600 in 1,200 replicas of 8, 16 and 32 hosts.
-fn large() -> FleetShape {
+fn large_fleet() -> FleetShape {
     let service = |name, hosts, replicas| ServiceShape {
         name,
         hosts,
         replicas,
         accelerators: 1,
         spare_every: 1,
-        ..ENGINE
+        ..ENGINE_SERVICE
     };
     FleetShape {
         services: vec![
@@ -262,6 +264,6 @@
         ],
         restart_rate: RESTART_RATE / 2.0,
         failure_rate: FAILURE_RATE / 2.0,
-        ..design()
+        ..design_fleet()
     }
 }
--- a/crates/placement/src/replay/generate/small.rs
+++ b/crates/placement/src/replay/generate/small.rs
@@ -19,12 +19,12 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let hosts = random.random_range(4..=hosts.max(4));
     let mut lines: Vec<TraceLine> = (0..hosts).map(arrive).collect();
-    let mut busy = vec![0; hosts];
+    let mut busy_until_ms = vec![0; hosts];
     for _ in 0..events {
         let at_ms = random.random_range(MEASURE_FROM_MS + 1..LAST_EVENT_MS);
         let index = random.random_range(0..hosts);
         let kind = random.random_range(0..10);
-        if at_ms < busy[index] {
+        if at_ms < busy_until_ms[index] {
             continue;
         }
         let (away_ms, weights) = match kind {
@@ -32,8 +32,8 @@
             5..9 => (random.random_range(90_000..400_000), WeightState::Lost),
             _ => (END_MS, WeightState::Lost),
         };
-        busy[index] = at_ms + away_ms;
-        let host = name(index);
+        busy_until_ms[index] = at_ms + away_ms;
+        let host = host_name(index);
         lines.push(TraceLine { at_ms, event: TraceEvent::Lost { host: host.clone() } });
         let back = TraceLine { at_ms: at_ms + away_ms, event: TraceEvent::Back { host, weights } };
         lines.push(back);
@@ -52,13 +52,13 @@
     HostTrace { header, lines }
 }
 
-fn name(index: usize) -> HostName {
+fn host_name(index: usize) -> HostName {
     HostName::new(&format!("host-{index}"))
 }
 
 fn arrive(index: usize) -> TraceLine {
     let event = TraceEvent::Arrive {
-        host: name(index),
+        host: host_name(index),
         zone: ZoneName::new("a"),
         domain: DomainName::new("rack"),
         provider: ProviderName::new("one"),
--- a/crates/placement/src/replay/mod.rs
+++ b/crates/placement/src/replay/mod.rs
@@ -10,7 +10,7 @@
 
 pub use fleet::ReplayFleet;
 pub use generate::{TraceShape, generate_small, generate_trace};
-pub use registry::NaiveRegistry;
-pub use run::{PlannerKind, ReplayReport, StatedOutcome, run_trace};
+pub use registry::ReferenceRegistry;
+pub use run::{ExpectedOutcome, PlannerKind, ReplayReport, run_trace};
 pub use search::{SearchResult, search_best};
 pub use trace::{HostTrace, TraceError, TraceEvent, TraceHeader, TraceLine, WeightState};
--- a/crates/placement/src/replay/registry.rs
+++ b/crates/placement/src/replay/registry.rs
@@ -6,13 +6,13 @@
 
 /// Who owns each host, kept in the plainest way.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct NaiveRegistry {
+pub struct ReferenceRegistry {
     owners: SortedTable<HostName, GroupId>,
     fencing: SortedTable<HostName, FencingNumber>,
     violations: Vec<String>,
 }
 
-impl NaiveRegistry {
+impl ReferenceRegistry {
     /// What did not hold so far.
     pub fn violations(&self) -> &[String] {
         &self.violations
@@ -27,23 +27,23 @@
     ) {
         match (command, outcome) {
             (ControlCommand::FormGroup(_), CommandOutcome::GroupFormed { group, .. }) => {
-                self.formed(*group, state);
+                self.add_group(*group, state);
             }
             (
                 ControlCommand::ReplaceGroup { group: old, .. },
                 CommandOutcome::GroupFormed { group, .. },
             ) => {
-                self.ended(*old);
-                self.formed(*group, state);
+                self.remove_group(*old);
+                self.add_group(*group, state);
             }
             (ControlCommand::DissolveGroup { .. }, CommandOutcome::GroupDissolved { group }) => {
-                self.ended(*group);
+                self.remove_group(*group);
             }
             _ => {}
         }
     }
 
-    fn ended(&mut self, group: GroupId) {
+    fn remove_group(&mut self, group: GroupId) {
         let before = self.owners.len();
         self.owners.retain(|_, owner| *owner != group);
         if self.owners.len() == before {
@@ -51,7 +51,7 @@
         }
     }
 
-    fn formed(&mut self, group: GroupId, state: &ControlState) {
+    fn add_group(&mut self, group: GroupId, state: &ControlState) {
         let Some(registered) = state.groups.group(group) else {
             self.violations.push(format!("group {group} was formed and does not exist"));
             return;
--- a/crates/placement/src/replay/run.rs
+++ b/crates/placement/src/replay/run.rs
@@ -10,10 +10,10 @@
 use crate::planner::{GroupPlanner, PlanAction, PlanReason, plan_first_come};
 
 /// Time from a change to the round of planning that sees it.
-const TICK: Duration = Duration::from_millis(200);
+const PLANNING_DELAY: Duration = Duration::from_millis(200);
 
 /// Decisions that are made again in every round while a group stays as it is.
-const LASTING_REASONS: [PlanReason; 3] =
+const REPEATED_REASONS: [PlanReason; 3] =
     [PlanReason::WaitForReturn, PlanReason::WaitNoSpare, PlanReason::RebuildElsewhere];
 
 impl std::str::FromStr for PlannerKind {
@@ -59,7 +59,7 @@
 
 plain_value! {
     /// One stated outcome and what came of it.
-    pub struct StatedOutcome {
+    pub struct ExpectedOutcome {
         /// When it was stated for, in milliseconds.
         pub at_ms: u64,
         /// What was stated.
@@ -99,7 +99,7 @@
         /// Decisions by reason; groups that wait are counted once for each wait.
         pub decisions: Vec<(PlanReason, u64)>,
         /// Stated outcomes.
-        pub outcomes: Vec<StatedOutcome>,
+        pub outcomes: Vec<ExpectedOutcome>,
         /// Promises of the registry that did not hold.
         pub violations: Vec<String>,
     }
@@ -117,25 +117,25 @@
     fleet: ReplayFleet,
     planner: GroupPlanner,
     kind: PlannerKind,
-    meter: &'a mut dyn FnMut() -> Duration,
+    clock: &'a mut dyn FnMut() -> Duration,
     plan_at: Option<TimePoint>,
-    wake: Option<TimePoint>,
+    replan_at: Option<TimePoint>,
     rounds: u64,
-    planning: Duration,
-    longest: Duration,
+    planning_time: Duration,
+    longest_round: Duration,
     decisions: SortedTable<PlanReason, u64>,
     waits: Vec<(u64, PlanReason)>,
-    outcomes: Vec<StatedOutcome>,
+    outcomes: Vec<ExpectedOutcome>,
 }
 
-/// Replays `trace` through the planner and the registry; `meter` reads a clock for the time that
+/// Replays `trace` through the planner and the registry; `clock` reads a clock for the time that
 /// planning takes and may always return zero.
 pub fn run_trace(
     trace: &HostTrace,
     kind: PlannerKind,
-    meter: &mut dyn FnMut() -> Duration,
+    clock: &mut dyn FnMut() -> Duration,
 ) -> ReplayReport {
-    let mut run = TraceRun::new(&trace.header, kind, meter);
+    let mut run = TraceRun::new(&trace.header, kind, clock);
     run.replay(&trace.lines, from_ms(trace.header.end_ms));
     run.report(&trace.header.trace)
 }
@@ -144,7 +144,7 @@
     pub(super) fn new(
         header: &TraceHeader,
         kind: PlannerKind,
-        meter: &'a mut dyn FnMut() -> Duration,
+        clock: &'a mut dyn FnMut() -> Duration,
     ) -> Self {
         let planner = match kind {
             PlannerKind::Cost => GroupPlanner::with_loads_ahead(),
@@ -154,12 +154,12 @@
             fleet: ReplayFleet::new(header),
             planner,
             kind,
-            meter,
+            clock,
             plan_at: None,
-            wake: None,
+            replan_at: None,
             rounds: 0,
-            planning: Duration::ZERO,
-            longest: Duration::ZERO,
+            planning_time: Duration::ZERO,
+            longest_round: Duration::ZERO,
             decisions: SortedTable::default(),
             waits: Vec::new(),
             outcomes: Vec::new(),
@@ -170,7 +170,7 @@
     pub(super) fn replay(&mut self, lines: &[TraceLine], end: TimePoint) {
         for line in lines {
             self.run_until(from_ms(line.at_ms));
-            self.take(line);
+            self.process_line(line);
         }
         self.run_until(end);
     }
@@ -183,43 +183,43 @@
     /// Lets loads end and planning rounds happen up to `end`.
     fn run_until(&mut self, end: TimePoint) {
         loop {
-            let wake = self.wake.map(|wake| wake.max(self.fleet.now()));
-            let plan = [self.plan_at, wake].into_iter().flatten().min();
+            let replan_at = self.replan_at.map(|replan_at| replan_at.max(self.fleet.now()));
+            let plan = [self.plan_at, replan_at].into_iter().flatten().min();
             let next = [self.fleet.next_change(), plan].into_iter().flatten().min();
             let Some(next) = next.filter(|next| *next < end) else { break };
             if self.fleet.advance(next) {
-                self.plan_soon();
+                self.schedule_plan();
             }
             if plan.is_some_and(|plan| plan <= next) {
                 self.plan();
             }
         }
         if self.fleet.advance(end) {
-            self.plan_soon();
+            self.schedule_plan();
         }
     }
 
-    fn plan_soon(&mut self) {
-        self.plan_at.get_or_insert(self.fleet.now().after(TICK));
+    fn schedule_plan(&mut self) {
+        self.plan_at.get_or_insert(self.fleet.now().after(PLANNING_DELAY));
     }
 
     fn plan(&mut self) {
         self.plan_at = None;
-        self.wake = None;
-        let started = (self.meter)();
+        self.replan_at = None;
+        let started = (self.clock)();
         let actions = match self.kind {
             PlannerKind::Naive => plan_first_come(self.fleet.view(), self.fleet.book()),
             PlannerKind::Cost | PlannerKind::Unprepared => self.plan_by_cost(),
         };
-        let spent = (self.meter)().saturating_sub(started);
+        let spent = (self.clock)().saturating_sub(started);
         self.rounds += 1;
-        self.planning += spent;
-        self.longest = self.longest.max(spent);
+        self.planning_time += spent;
+        self.longest_round = self.longest_round.max(spent);
         for action in &actions {
             self.fleet.act(action);
         }
         if !actions.is_empty() {
-            self.plan_soon();
+            self.schedule_plan();
         }
     }
 
@@ -227,10 +227,10 @@
         let now = self.fleet.now();
         let round = self.planner.step(now, self.fleet.view(), self.fleet.book());
         // No earlier than the next tick, as in the control role.
-        self.wake = round.wake.map(|wake| wake.max(now.after(TICK)));
+        self.replan_at = round.replan_at.map(|replan_at| replan_at.max(now.after(PLANNING_DELAY)));
         let mut waits = Vec::new();
         for decision in &round.decisions {
-            let waiting = decision.group.is_some() && LASTING_REASONS.contains(&decision.reason);
+            let waiting = decision.group.is_some() && REPEATED_REASONS.contains(&decision.reason);
             let key = (decision.group.map_or(0, |group| group.0), decision.reason);
             if waiting {
                 waits.push(key);
@@ -243,7 +243,7 @@
         round.actions
     }
 
-    fn take(&mut self, line: &TraceLine) {
+    fn process_line(&mut self, line: &TraceLine) {
         let total = self.fleet.account().total();
         let (formed, replaced, ..) = self.fleet.changes();
         let (measured, held) = match &line.event {
@@ -263,11 +263,11 @@
             }
             event => {
                 self.fleet.apply(event);
-                return self.plan_soon();
+                return self.schedule_plan();
             }
         };
         let stated = line.event.clone();
-        self.outcomes.push(StatedOutcome { at_ms: line.at_ms, stated, measured, held });
+        self.outcomes.push(ExpectedOutcome { at_ms: line.at_ms, stated, measured, held });
     }
 
     fn report(self, trace: &str) -> ReplayReport {
@@ -284,11 +284,11 @@
             dissolved,
             refused,
             rounds: self.rounds,
-            planning_seconds: self.planning.as_secs_f64(),
-            longest_round_seconds: self.longest.as_secs_f64(),
+            planning_seconds: self.planning_time.as_secs_f64(),
+            longest_round_seconds: self.longest_round.as_secs_f64(),
             decisions: self.decisions.iter().map(|(reason, count)| (*reason, *count)).collect(),
             outcomes: self.outcomes,
-            violations: self.fleet.naive().violations().to_vec(),
+            violations: self.fleet.reference().violations().to_vec(),
         }
     }
 }
--- a/crates/placement/src/replay/search.rs
+++ b/crates/placement/src/replay/search.rs
@@ -40,12 +40,12 @@
 
 /// Tries every sequence of at most `actions` actions.
 pub fn search_best(trace: &HostTrace, actions: u32) -> SearchResult {
-    let mut meter = || std::time::Duration::ZERO;
-    let planned = super::run_trace(trace, PlannerKind::Cost, &mut meter).weighted;
-    let naive = super::run_trace(trace, PlannerKind::Naive, &mut meter).weighted;
+    let mut clock = || std::time::Duration::ZERO;
+    let planned = super::run_trace(trace, PlannerKind::Cost, &mut clock).weighted;
+    let naive = super::run_trace(trace, PlannerKind::Naive, &mut clock).weighted;
     let start = from_ms(trace.header.measure_from_ms);
     let first = trace.lines.partition_point(|line| from_ms(line.at_ms) <= start);
-    let mut run = TraceRun::new(&trace.header, PlannerKind::Cost, &mut meter);
+    let mut run = TraceRun::new(&trace.header, PlannerKind::Cost, &mut clock);
     run.replay(&trace.lines[..first], start);
     let mut search = PlanSearch {
         lines: &trace.lines[first..],
@@ -68,18 +68,18 @@
         }
         if actions > 0 {
             for action in possible_actions(fleet.view()) {
-                let mut tried = fleet.clone();
-                tried.act(&action);
+                let mut branch = fleet.clone();
+                branch.act(&action);
                 self.path.push((fleet.now(), action));
-                self.explore(&tried, next, actions - 1);
+                self.explore(&branch, next, actions - 1);
                 self.path.pop();
             }
         }
-        self.pass(fleet.clone(), next, actions);
+        self.advance_time(fleet.clone(), next, actions);
     }
 
     /// Lets time pass to the next event or change.
-    fn pass(&mut self, mut fleet: ReplayFleet, next: usize, actions: u32) {
+    fn advance_time(&mut self, mut fleet: ReplayFleet, next: usize, actions: u32) {
         self.steps += 1;
         let event = self.lines.get(next).map_or(self.end, |line| from_ms(line.at_ms));
         match fleet.next_change().filter(|change| *change < event) {
@@ -113,8 +113,8 @@
         }
         replacements(view, group, &free, &mut actions);
     }
-    for (at, one) in free.iter().enumerate() {
-        for other in free.iter().skip(at + 1).filter(|other| same_place(one, other)) {
+    for (index, one) in free.iter().enumerate() {
+        for other in free.iter().skip(index + 1).filter(|other| same_place(one, other)) {
             for pair in [[one, other], [other, one]] {
                 let members = pair.iter().map(|host| host.announcement.host.clone()).collect();
                 let service = one.announcement.service.clone();
--- a/crates/placement/src/replay/trace.rs
+++ b/crates/placement/src/replay/trace.rs
@@ -223,7 +223,7 @@
         });
         for document in std::iter::once(&mut self.header.rules).chain(events) {
             if document.rules.iter().all(|entry| entry.then.place.is_none()) {
-                document.rules.push(place_for_all());
+                document.rules.push(default_place_rule());
             }
             for place in document.rules.iter_mut().filter_map(|entry| entry.then.place.as_mut()) {
                 place.downtime_weight = downtime.unwrap_or(place.downtime_weight);
@@ -233,7 +233,7 @@
     }
 }
 
-fn place_for_all() -> RuleEntry {
+fn default_place_rule() -> RuleEntry {
     let place = Some(PlaceAction::default());
     let then = RuleAction { place, ..RuleAction::default() };
     RuleEntry { rule: RuleName::new("place"), when: RuleCondition::default(), then }
--- a/crates/placement/tests/planner.rs
+++ b/crates/placement/tests/planner.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn new_leader_takes_no_group_apart() {
+fn new_leader_dissolves_no_group() {
     // A new leader knows the groups from the log and no agent yet. Read as losses, the missing
     // agents would have every healthy group taken apart within a second of the change.
     let book = book(2, "load_ms: 1000, wait_ms: 0");
@@ -100,11 +100,11 @@
     let round = planner.step(at(0), &view, &book);
 
     assert_eq!(round.actions, Vec::new());
-    assert!(round.wake.is_some());
+    assert!(round.replan_at.is_some());
 }
 
 #[test]
-fn group_that_serves_is_left_alone() {
+fn serving_group_is_not_replaced() {
     // Control loses sight of a member that its group still reaches. Replacing it would cut off
     // requests in a group that serves them well.
     let book = book(2, "load_ms: 1000, wait_ms: 1");
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn moved_address_gets_new_assignment_for_same_members() {
+fn changed_address_gets_new_assignment_for_same_members() {
     // An agent restarts on another port. Its group still names the old one and could never be
     // whole again, although every host is there.
     let book = book(2, "load_ms: 1000");
@@ -156,23 +156,23 @@
 }
 
 #[test]
-fn spares_by_rule_mend_and_do_not_add() {
+fn reserved_spares_repair_but_add_no_group() {
     // The rules keep one host free for repairs. Used up for a third replica, it would be missing
     // at the next failure.
     let book = book(3, "spares: 1, load_ms: 1000, wait_ms: 0");
     let mut view = fleet(&[("s1", "rack-1"), ("s2", "rack-1")]);
     let mut planner = settled_planner(&view, &book);
 
-    let quiet = planner.step(at(50), &view, &book);
+    let before_loss = planner.step(at(50), &view, &book);
     lose(&mut view, "a2", at(60));
-    let mended = planner.step(at(60), &view, &book);
+    let repaired = planner.step(at(60), &view, &book);
 
-    assert_eq!(quiet.actions, Vec::new());
-    assert_matches!(&mended.actions[..], [PlanAction::Replace { group: GroupId(1), .. }]);
+    assert_eq!(before_loss.actions, Vec::new());
+    assert_matches!(&repaired.actions[..], [PlanAction::Replace { group: GroupId(1), .. }]);
 }
 
 #[test]
-fn place_rule_of_a_zone_counts_for_its_groups() {
+fn zone_place_rule_applies_to_its_groups() {
     // Operators let one availability zone wait longer than the others. A planner that asked for
     // the service alone would pass such a rule over without a word.
     let text = "
--- a/crates/placement/tests/random_events.rs
+++ b/crates/placement/tests/random_events.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn promises_hold_under_random_events() {
+fn registry_invariants_hold_under_random_events() {
     // Hosts, a fabric domain and the weight store fail and return in any order and at the same
     // time. A planner that lost track would put a host into two groups, mix providers, or have
     // most of its commands refused.
@@ -129,7 +129,7 @@
             let rounds = random.random_range(1..300);
             run_rounds(&mut fleet, &mut planner, rounds);
 
-            assert_eq!(fleet.naive().violations(), Vec::<String>::new(), "seed {seed}");
+            assert_eq!(fleet.reference().violations(), Vec::<String>::new(), "seed {seed}");
             assert_eq!(malformed(fleet.view()), Vec::<String>::new(), "seed {seed}");
         }
 
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn quiet_fleet_is_left_alone() {
+fn planner_takes_no_action_once_fleet_is_stable() {
     // After any history the fleet calms down. A planner that keeps moving hosts to and fro would
     // cut off requests for nothing, for as long as nobody looks.
     for seed in 0..24 {
@@ -160,13 +160,13 @@
 }
 
 #[test]
-fn traces_of_today_hold_and_beat_first_come() {
+fn customer_traces_meet_expectations_and_cost_less_than_first_come() {
     for (shape, seed) in [(TraceShape::Parkland, 3), (TraceShape::Hollis, 3)] {
         let trace = generate_trace(shape, seed);
-        let mut meter = || Duration::ZERO;
+        let mut clock = || Duration::ZERO;
 
-        let cost = run_trace(&trace, PlannerKind::Cost, &mut meter);
-        let naive = run_trace(&trace, PlannerKind::Naive, &mut meter);
+        let cost = run_trace(&trace, PlannerKind::Cost, &mut clock);
+        let naive = run_trace(&trace, PlannerKind::Naive, &mut clock);
 
         assert!(cost.holds(), "{:?}", cost.violations);
         assert!(cost.weighted >= cost.weighted_bound);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn planner_stays_near_the_best_plan() {
+fn planner_cost_stays_near_best_plan() {
     // The search knows the future, so the planner cannot match it; it must not fall far behind,
     // and the search, which starts from the planner's cost, must not end above it.
     let (mut best, mut planned) = (0.0, 0.0);
