--- a/crates/placement/src/accounting.rs
+++ b/crates/placement/src/accounting.rs
@@ -1,7 +1,10 @@
 //! Group downtime and stranded accelerators, integrated over time.
 //!
-//! `FleetRates` says what is down and stranded at one moment; `FleetAccount` adds rates up. Both
-//! are pure, so that a live control role and a replay count alike.
+//! `FleetRates` holds the groups down and accelerators stranded at one moment; `FleetAccount`
+//! integrates these rates. Neither does I/O, so the control role and a replay count alike.
+//!
+//! An accelerator is stranded while its host is present but belongs to no serving group, or to one
+//! beyond the declared number of replicas.
 
 use briartray_model::names::{DomainName, GroupId, HostName, ProviderName, ServiceName};
 use briartray_model::rules::{DecisionFacts, PlaceAction, RuleBook, ServiceDeclaration};
@@ -10,26 +13,26 @@
 use crate::planner::{FleetView, GroupView, HostView};
 
 plain_choice! {
-    /// Why an accelerator sits outside any whole group.
+    /// Why an accelerator is stranded.
     pub enum StrandedReason {
         /// Its group lacks a member.
         MissingMember,
-        /// Its group is complete and not ready to serve yet.
+        /// All members of its group are present, and the group does not serve yet.
         Loading,
-        /// It is free while every wanted replica has a group or enough hosts to form one are free, or
-        /// its group is one more than wanted.
+        /// It is free although no replica lacks a group or its place has enough free hosts to form
+        /// one, or its group is one more than declared.
         SpareHeld,
-        /// It is free, a replica is missing, and its place has too few free hosts for a group.
+        /// It is free, a replica has no group, and its place has too few free hosts to form one.
         OddHost,
-        /// Its host is on its way out.
+        /// Its host has announced to leave.
         Leaving,
-        /// No declared service wants its host.
+        /// The service of its host is not declared.
         Unplaceable,
     }
 }
 
 impl StrandedReason {
-    /// Every reason, in the order of the counters.
+    /// All reasons, in the order of `ServiceAccount::stranded`.
     pub const ALL: [Self; 6] = [
         Self::MissingMember,
         Self::Loading,
@@ -39,7 +42,7 @@
         Self::Unplaceable,
     ];
 
-    /// The name used in metrics and reports.
+    /// Name in metrics and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::MissingMember => "missing_member",
@@ -53,36 +56,37 @@
 }
 
 plain_value! {
-    /// Downtime and stranded accelerators of one service: at a moment, or added up in seconds.
+    /// Downtime and stranded accelerators of one service: counts at one moment as a rate, or such
+    /// counts multiplied by seconds as a sum.
     #[derive(Default)]
     pub struct ServiceAccount {
-        /// Wanted groups that do not serve.
+        /// Declared replicas without a serving group.
         pub groups_down: f64,
-        /// Serving groups that cross fabric domains.
+        /// Serving groups that cross fabric domains, counted only if the rules allow such groups.
         pub groups_slow: f64,
         /// Stranded accelerators by reason, in the order of `StrandedReason::ALL`.
         pub stranded: [f64; 6],
-        /// Groups that no plan could have kept up, for want of hosts in one place.
+        /// Lower bound of `groups_down`: replicas for which the present hosts are too few.
         pub bound_down: f64,
-        /// Accelerators that no plan could have used.
+        /// Lower bound of stranded accelerators: those beyond what the possible groups use.
         pub bound_stranded: f64,
     }
 }
 
 impl ServiceAccount {
-    /// Stranded accelerators for all reasons.
+    /// Sum of stranded accelerators over all reasons.
     pub fn stranded_total(&self) -> f64 {
         self.stranded.iter().sum()
     }
 
-    /// Downtime and stranded accelerators, weighted by `rules`.
+    /// Cost of downtime, slow groups and stranded accelerators, weighted by `rules`.
     pub fn weighted(&self, rules: &PlaceAction) -> f64 {
         let slow = f64::from(rules.cross_domain_loss_percent) / 100.0 * self.groups_slow;
         rules.downtime_weight * (self.groups_down + slow)
             + rules.stranded_weight * self.stranded_total()
     }
 
-    /// The weighted cost that no plan could have avoided.
+    /// Lower bound of the weighted cost, which no plan can avoid.
     pub fn weighted_bound(&self, rules: &PlaceAction) -> f64 {
         rules.downtime_weight * self.bound_down + rules.stranded_weight * self.bound_stranded
     }
@@ -98,13 +102,13 @@
     }
 }
 
-/// What is down and stranded at one moment, by service.
+/// Groups down and accelerators stranded at one moment, by service.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FleetRates {
     services: SortedTable<ServiceName, ServiceAccount>,
 }
 
-/// Present hosts of one service in one place.
+/// Number of present hosts of one service in one place.
 #[derive(Debug, Clone, Copy)]
 struct PlaceCount<'a> {
     service: &'a ServiceName,
@@ -116,7 +120,7 @@
 }
 
 impl FleetRates {
-    /// Looks at every host and group once.
+    /// Computes the rates of `view` in one pass over its hosts and groups.
     pub fn take(view: &FleetView, book: &RuleBook) -> Self {
         let places = count_places(view);
         let states = group_states(view);
@@ -137,13 +141,13 @@
         rates
     }
 
-    /// Rates by service.
+    /// The rates of each service.
     pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &ServiceAccount)> {
         self.services.iter()
     }
 }
 
-/// Rates added up over time.
+/// Rates integrated over time, in seconds.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FleetAccount {
     at: TimePoint,
@@ -151,17 +155,17 @@
 }
 
 impl FleetAccount {
-    /// An account that begins at `now`.
+    /// Creates an empty account that begins at `now`.
     pub fn begin(now: TimePoint) -> Self {
         Self { at: now, services: SortedTable::default() }
     }
 
-    /// Leaves out the time since the last call.
+    /// Advances to `now` without counting the time since the last call.
     pub fn skip(&mut self, now: TimePoint) {
         self.at = now;
     }
 
-    /// Adds the time since the last call, during which `rates` held.
+    /// Advances to `now` and adds `rates` for the time since the last call.
     pub fn advance(&mut self, now: TimePoint, rates: &FleetRates) {
         let seconds = now.since(self.at).as_secs_f64();
         if seconds <= 0.0 {
@@ -173,19 +177,19 @@
         }
     }
 
-    /// Sums by service.
+    /// The sums of each service.
     pub fn services(&self) -> impl Iterator<Item = (&ServiceName, &ServiceAccount)> {
         self.services.iter()
     }
 
-    /// Sums over all services.
+    /// The sums over all services.
     pub fn total(&self) -> ServiceAccount {
         let mut total = ServiceAccount::default();
         self.services.values().for_each(|account| total.add(account, 1.0));
         total
     }
 
-    /// Weighted total and the part of it that no plan could have avoided.
+    /// Weighted cost over all services, and its lower bound.
     pub fn weighted(&self, book: &RuleBook) -> (f64, f64) {
         self.services.iter().fold((0.0, 0.0), |(cost, bound), (service, account)| {
             let rules = place_rules(book, service);
@@ -194,7 +198,7 @@
     }
 }
 
-/// The place rules of one service.
+/// The place rules that apply to a service regardless of zone and provider.
 pub fn place_rules(book: &RuleBook, service: &ServiceName) -> PlaceAction {
     let facts = DecisionFacts { service: Some(service.as_str()), ..DecisionFacts::default() };
     book.place(&facts).1
@@ -207,13 +211,13 @@
 
 fn count_places(view: &FleetView) -> Vec<PlaceCount<'_>> {
     let mut places: Vec<PlaceCount<'_>> = Vec::new();
-    let mut last = 0;
+    let mut last_place = 0;
     for host in view.hosts.values().filter(|host| host.present) {
         let key = place_of(host);
         let fits = |place: &PlaceCount<'_>| (place.service, place.provider, place.domain) == key;
-        // Hosts of one place mostly follow each other, so the last place is tried first.
-        if !places.get(last).is_some_and(fits) {
-            last = find_place(&places, key).unwrap_or_else(|at| {
+        // Adjacent hosts mostly share a place, so the place of the previous host is tried first.
+        if !places.get(last_place).is_some_and(fits) {
+            last_place = find_place(&places, key).unwrap_or_else(|at| {
                 let (service, provider, domain) = key;
                 let (hosts, free, accelerators) = (0, 0, 0.0);
                 let place = PlaceCount { service, provider, domain, hosts, free, accelerators };
@@ -221,9 +225,9 @@
                 at
             });
         }
-        places[last].hosts += 1;
-        places[last].accelerators += f64::from(host.announcement.accelerators);
-        places[last].free += usize::from(host.group.is_none() && !host.announcement.leaving);
+        places[last_place].hosts += 1;
+        places[last_place].accelerators += f64::from(host.announcement.accelerators);
+        places[last_place].free += usize::from(host.group.is_none() && !host.announcement.leaving);
     }
     places
 }
@@ -235,7 +239,7 @@
     places.binary_search_by(|place| (place.service, place.provider, place.domain).cmp(&key))
 }
 
-/// State of one group; a short list of these is searched for every host.
+/// State of one group, in a compact form that is searched for every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct GroupState {
     group: GroupId,
@@ -288,7 +292,7 @@
     let (possible, accelerators, hosts) = possible_groups(service, &rules, places);
     let usable = possible.min(wanted) * service.hosts_per_replica as usize;
     let per_host = if hosts > 0 { accelerators / hosts as f64 } else { 0.0 };
-    // Groups beyond the wanted number serve nobody who asked for them.
+    // Groups beyond the declared number of replicas count as idle.
     let surplus = serving.len().saturating_sub(wanted) * service.hosts_per_replica as usize;
     let mut stranded = [0.0; 6];
     stranded[StrandedReason::SpareHeld as usize] = surplus as f64 * per_host;
@@ -301,7 +305,8 @@
     }
 }
 
-/// Groups that the present hosts could form, with their accelerators and their number.
+/// Number of groups that the present hosts of a service could form, with the accelerators and the
+/// number of these hosts.
 fn possible_groups(
     service: &ServiceDeclaration,
     rules: &PlaceAction,
@@ -326,7 +331,7 @@
     domains.any(|domain| Some(domain) != first)
 }
 
-/// Declared services with their group size, and whether one of their replicas has no group.
+/// Declared services with their hosts per replica and whether a replica has no group.
 fn lacking_services<'a>(
     view: &FleetView,
     book: &'a RuleBook,
--- a/crates/placement/src/lease/mod.rs
+++ b/crates/placement/src/lease/mod.rs
@@ -6,10 +6,10 @@
 //! hosts are compared.
 
 mod gate;
-mod promise;
+mod granter;
 
 pub use gate::GroupGate;
-pub use promise::{HostPromise, PromiseDecision};
+pub use granter::{HostPromise, PromiseDecision};
 
 use std::time::Duration;
 
--- a/crates/placement/src/planner/absence.rs
+++ b/crates/placement/src/planner/absence.rs
@@ -1,11 +1,12 @@
-//! How long missing hosts stay away: a histogram of absences with a prior from the rules.
+//! Model of how long hosts stay absent: a histogram of observed absences with a prior from the
+//! rules.
 //!
-//! Most hosts that vanish come back: agents restart within seconds, hosts within minutes, and few
-//! are gone for good. The longer a host has been away, the less likely the short explanations are.
+//! Most hosts that disappear return: agents restart within seconds, hosts within minutes, and few
+//! are lost permanently. The longer a host has been absent, the less likely is an early return.
 
 use briartray_model::rules::PlaceAction;
 
-/// Upper ends of the buckets, in seconds; what lies beyond the last counts as gone for good.
+/// Upper ends of the buckets, in seconds; a longer absence counts as a permanent loss.
 const BUCKET_END_SECONDS: [f64; 13] = [
     2.0,
     5.0,
@@ -22,30 +23,31 @@
     PERMANENT_LOSS_SECONDS,
 ];
 
-/// An absence longer than this counts as gone for good, in seconds.
+/// An absence longer than this counts as a permanent loss, in seconds.
 pub(super) const PERMANENT_LOSS_SECONDS: f64 = 7200.0;
 
-/// How many observations the prior is worth.
+/// Weight of the prior, in observations.
 const PRIOR_WEIGHT: f64 = 20.0;
 
-/// Counts are halved past this total, so that the model follows a fleet that changes.
+/// Counts are halved above this total, so that the model follows changes of the fleet.
 const DECAY_TOTAL: f64 = 2000.0;
 
-/// Absences up to this length are taken for restarts of a process that leave weights loaded.
+/// The prior assumes that absences up to this length are process restarts that keep the weights
+/// loaded, in seconds.
 const WEIGHTS_KEPT_SECONDS: f64 = 40.0;
 
 const BUCKET_COUNT: usize = BUCKET_END_SECONDS.len();
 
-/// What waiting for a missing host is expected to cost, in seconds of the group being down.
+/// Expected downtime of a group that waits for a missing host, and how long to wait.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WaitEstimate {
-    /// Seconds down when waiting for the best time and replacing then.
+    /// Expected downtime in seconds if the host is replaced after `max_wait_seconds`.
     pub expected_down_seconds: f64,
-    /// How much longer to wait at most; zero when replacing now is best.
+    /// How much longer to wait, in seconds; zero if replacing the host now is best.
     pub max_wait_seconds: f64,
 }
 
-/// Observed absences by length.
+/// Histogram of observed absences by length.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AbsenceModel {
     returned: [f64; BUCKET_COUNT],
@@ -53,7 +55,7 @@
     permanent_losses: f64,
 }
 
-/// One bucket as seen by a host that has already been away for a while.
+/// The part of a bucket that is still possible after the elapsed absence of a host.
 #[derive(Debug, Clone, Copy)]
 struct RemainingBucket {
     start: f64,
@@ -63,7 +65,7 @@
 }
 
 impl AbsenceModel {
-    /// Takes note of a host that came back after `seconds`.
+    /// Records that a host returned after an absence of `seconds`, with or without its weights.
     pub fn record_return(&mut self, seconds: f64, weights_kept: bool) {
         if seconds >= PERMANENT_LOSS_SECONDS {
             return self.record_permanent_loss();
@@ -77,16 +79,16 @@
         self.decay();
     }
 
-    /// Takes note of a host that is gone for good.
+    /// Records a host that is presumed permanently lost.
     pub fn record_permanent_loss(&mut self) {
         self.permanent_losses += 1.0;
         self.decay();
     }
 
-    /// Weighs waiting against replacing, for a host that has been away for `elapsed_seconds` seconds.
+    /// Finds the best time to replace a host that has been absent for `elapsed_seconds`.
     ///
-    /// `load_seconds` is the time to load one host, `replace_seconds` the time that a replacement made now or
-    /// later keeps the group down.
+    /// `load_seconds` is the time that a host takes to load its weights, `replace_seconds` the
+    /// downtime caused by a replacement, whenever it is made.
     pub fn estimate_wait(
         &self,
         rules: &PlaceAction,
@@ -116,7 +118,7 @@
         best
     }
 
-    /// Expected seconds until the group is whole again when nothing but waiting is possible.
+    /// Expected seconds until the group is whole again if it only waits for the host.
     pub fn expected_wait(
         &self,
         rules: &PlaceAction,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// What is left of the histogram after `elapsed_seconds` seconds, and the mass of hosts that are gone.
+    /// The part of the histogram beyond `elapsed_seconds`, and the mass of permanent losses.
     fn remaining_buckets(
         &self,
         rules: &PlaceAction,
@@ -186,8 +188,10 @@
     }
 }
 
-/// Prior share of returns in one bucket: half are processes that restart within seconds, half
-/// are hosts that take between half of and twice the usual restart time.
+/// Prior share of returns that fall into one bucket.
+///
+/// Half of the returns are process restarts of up to `WEIGHTS_KEPT_SECONDS`, half are host restarts
+/// that take between half and twice the usual time; both are uniformly distributed.
 fn prior_share(start: f64, end: f64, restart_seconds: f64) -> f64 {
     let overlap = |low: f64, high: f64| (end.min(high) - start.max(low)).max(0.0) / (high - low);
     let process_restarts = overlap(0.0, WEIGHTS_KEPT_SECONDS);
--- a/crates/placement/src/planner/first_come.rs
+++ b/crates/placement/src/planner/first_come.rs
@@ -1,11 +1,11 @@
-//! The naive planner: dissolve what has lost a member, form groups from whatever is free.
+//! The naive planner: dissolves groups that lack a member, forms groups from any free hosts.
 
 use briartray_model::names::{DomainName, HostName, ProviderName};
 use briartray_model::rules::{RuleBook, ServiceDeclaration};
 
 use super::{FleetView, HostView, PlanAction};
 
-/// Plans without looking ahead: first come, first grouped.
+/// Plans without expected costs or state: free hosts are grouped in the order of their names.
 pub fn plan_first_come(view: &FleetView, book: &RuleBook) -> Vec<PlanAction> {
     let mut actions = dissolve_broken(view);
     for service in &book.document().services {
--- a/crates/placement/src/planner/mod.rs
+++ b/crates/placement/src/planner/mod.rs
@@ -9,7 +9,6 @@
 //! model's weights it loads.
 
 mod absence;
-mod capacity;
 mod command;
 mod first_come;
 mod group_planner;
@@ -18,6 +17,7 @@
 mod queue;
 mod reason;
 mod repair;
+mod replicas;
 mod service;
 mod spares;
 mod split;
--- a/crates/placement/src/planner/pool.rs
+++ b/crates/placement/src/planner/pool.rs
@@ -1,4 +1,4 @@
-//! Free hosts of one service by place, taken out as a round of planning uses them.
+//! Free hosts of one service by place; a planning round removes those that it uses.
 
 use std::cmp::Reverse;
 
@@ -7,19 +7,20 @@
 
 use super::HostView;
 
-/// Where a host sat before it was freed.
+/// Group and rank of a host before it was freed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct FormerMembership {
-    /// Its group then.
+    /// Its former group.
     pub(super) group: GroupId,
-    /// Its position in that group.
+    /// Its rank in that group.
     pub(super) rank: usize,
 }
 
-/// Former seats of free hosts; a host that takes the same position finds its weights loaded.
+/// Former memberships of free hosts. A host that gets its former rank again has its weights
+/// loaded.
 pub(super) type MembershipHistory = SortedTable<HostName, FormerMembership>;
 
-/// Free hosts of one provider and fabric domain.
+/// Free hosts of one place: a provider and one of its fabric domains.
 #[derive(Debug)]
 pub(super) struct PlacePool<'a> {
     pub(super) provider: &'a ProviderName,
@@ -33,8 +34,10 @@
         self.hosts.len()
     }
 
-    /// Picks hosts for a whole new group, by position: each rank goes to a host that held it
-    /// before, in the same group where possible, and the rest to whoever is left.
+    /// Picks hosts for a new group and returns their indices by rank.
+    ///
+    /// A rank goes to a host that had it before, preferably in the same former group as the
+    /// others; the remaining ranks go to any remaining hosts.
     pub(super) fn pick_members(&self, size: usize) -> Vec<usize> {
         let mut picked = vec![None; size];
         let preferred_group = self.largest_former_group();
@@ -55,12 +58,12 @@
         picked.into_iter().filter_map(|choice| choice.or_else(|| others.pop())).collect()
     }
 
-    /// Names of picked hosts.
+    /// Names of the hosts at the `picked` indices.
     pub(super) fn names(&self, picked: &[usize]) -> Vec<HostName> {
         picked.iter().map(|index| host_name(self.hosts[*index].1)).collect()
     }
 
-    /// Takes picked hosts out.
+    /// Removes the hosts at the `picked` indices and returns their names.
     pub(super) fn take(&mut self, picked: &[usize]) -> Vec<HostName> {
         let names = self.names(picked);
         let mut order = picked.to_vec();
@@ -71,13 +74,13 @@
         names
     }
 
-    /// Takes one host for the position `rank`: one that held the same before, or the last.
+    /// Removes a host for `rank`: one that had this rank before, otherwise the last one.
     pub(super) fn take_for_rank(&mut self, rank: usize) -> Option<HostName> {
         let index = self.index_for_rank(rank)?;
         Some(host_name(self.hosts.remove(index).1))
     }
 
-    /// The host that `take_for_rank` would take.
+    /// The host that `take_for_rank` would remove.
     pub(super) fn peek_for_rank(&self, rank: usize) -> Option<&HostName> {
         self.index_for_rank(rank).map(|index| &self.hosts[index].1.announcement.host)
     }
@@ -90,7 +93,7 @@
         index.or_else(|| self.hosts.len().checked_sub(1))
     }
 
-    /// The former group that most of the hosts sat in.
+    /// The former group of most of the hosts.
     fn largest_former_group(&self) -> Option<GroupId> {
         self.hosts
             .chunk_by(|a, b| {
@@ -111,7 +114,7 @@
 }
 
 impl<'a> FreePool<'a> {
-    /// Picks the hosts of `service` out of `free`, which is in order of service and place.
+    /// Collects the hosts of `service` from `free`, which is ordered by service and place.
     pub(super) fn gather(
         free: &[&'a HostView],
         service: &ServiceName,
@@ -137,7 +140,7 @@
         self.places.iter_mut().find(|pool| pool.domain == domain && pool.provider == provider)
     }
 
-    /// Free hosts of one place.
+    /// Number of free hosts of one place.
     pub(super) fn count(&self, provider: &ProviderName, domain: &DomainName) -> usize {
         self.places
             .iter()
@@ -146,7 +149,7 @@
             .sum()
     }
 
-    /// Free hosts of a provider in all of its fabric domains.
+    /// Number of free hosts of a provider in all of its fabric domains.
     pub(super) fn count_provider(&self, provider: &ProviderName) -> usize {
         let of_provider = self.places.iter().filter(|pool| pool.provider == provider);
         of_provider.map(PlacePool::len).sum()
@@ -156,7 +159,7 @@
 fn place_pool<'a>(run: &[&'a HostView], memberships: &MembershipHistory) -> PlacePool<'a> {
     let mut hosts: Vec<_> =
         run.iter().map(|host| (memberships.get(&host.announcement.host).copied(), *host)).collect();
-    // Former seats first and in order, so that sets that sat together are neighbours.
+    // Hosts with a former membership come first, so that those of one former group are adjacent.
     hosts.sort_by_key(|(membership, _)| (membership.is_none(), *membership));
     PlacePool {
         provider: &run[0].announcement.provider,
--- a/crates/placement/src/planner/queue.rs
+++ b/crates/placement/src/planner/queue.rs
@@ -1,4 +1,4 @@
-//! The queue for the weight store when many groups come back at once.
+//! Queueing of groups for the weight store when many of them return at once.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use super::service::{GroupDisposition, ServicePlan};
 use super::survey::GroupSurvey;
 
-/// Groups whose members came back this recently may be sent to the queue for the weight store;
-/// later their loads are under way and would be lost.
+/// Only groups with a member that returned this recently are queued for the weight store; the loads
+/// of others have progressed too far to be discarded.
 const QUEUE_WINDOW: Duration = Duration::from_secs(2);
 
 impl ServicePlan<'_> {
-    /// Sends groups to the queue whose members all start to load at once.
+    /// Dissolves groups that start to load together and exceed the limit of parallel loads.
     ///
-    /// When a fabric domain comes back, the weight store shares its rate among all of its hosts
-    /// and every group becomes whole only at the very end. Formed one after the other, the groups
-    /// wait half as long on average.
+    /// After a domain outage the weight store shares its rate among all returning hosts, and every
+    /// group becomes whole only at the very end. Groups that are formed one after the other, as the
+    /// store has capacity, wait half as long on average.
     pub(super) fn queue_loads(&mut self, context: &mut RoundContext<'_>) {
         let limit = self.rules.parallel_loads as usize;
         if limit == 0 || context.running_loads <= limit {
@@ -32,8 +32,8 @@
             let loads = context.memory.unloaded_members(survey.group);
             let first = running == 0;
             running += loads;
-            let most = 2 * loads >= survey.group.members.len();
-            if !first && running > limit && most && just_returned(context, survey) {
+            let mostly_loading = 2 * loads >= survey.group.members.len();
+            if !first && running > limit && mostly_loading && just_returned(context, survey) {
                 running -= loads;
                 context.running_loads = context.running_loads.saturating_sub(loads);
                 context.dissolve(survey_index);
--- a/crates/placement/src/planner/reason.rs
+++ b/crates/placement/src/planner/reason.rs
@@ -6,7 +6,7 @@
 plain_choice! {
     /// Reason for a decision.
     pub enum PlanReason {
-        /// Fewer groups exist than replicas are declared, and enough hosts are free to form one.
+        /// Fewer groups exist than replicas are declared, and free hosts can form one.
         MissingReplica,
         /// Hosts are idle, and the rules ask for standby groups beyond the declared replicas.
         StandbyReplica,
@@ -14,15 +14,15 @@
         WaitForReturn,
         /// No free host can replace a missing member.
         WaitNoSpare,
-        /// A free host of the same place replaces a missing member.
+        /// A free host of the same place replaces a missing or loading member.
         UseSpare,
-        /// Another broken group of the same place is dissolved and its hosts replace missing members.
+        /// Another broken group of the same place is dissolved; its hosts replace missing members.
         SplitBroken,
-        /// A new group is formed elsewhere; the old one is dissolved once the new one serves.
+        /// A new group is formed; the old one is dissolved once the new one serves.
         RebuildElsewhere,
         /// A group is formed or completed with hosts of several fabric domains.
         CrossDomain,
-        /// A group that crosses fabric domains is replaced by one within a single domain.
+        /// A group that crosses fabric domains is replaced by one within a domain.
         ComeHome,
         /// A member that has announced to leave is replaced.
         MemberLeaving,
@@ -30,11 +30,11 @@
         ProviderPreferred,
         /// A member listens at another address after a restart; the group is assigned anew.
         AddressChanged,
-        /// Too many hosts load at once; the group is dissolved and formed again later, when the weight
+        /// Too many hosts load at once; the group is dissolved, and formed again when the weight
         /// store has capacity.
         LoadsQueued,
-        /// The group has been superseded, exceeds the declared replicas, or waits for a host that is
-        /// not expected back.
+        /// The group has been superseded, exceeds the declared replicas, or waits for a host that
+        /// is not expected back.
         Surplus,
         /// The service is not declared, or is declared with another number of hosts per replica.
         NotDeclared,
--- a/crates/placement/src/planner/repair.rs
+++ b/crates/placement/src/planner/repair.rs
@@ -1,5 +1,5 @@
-//! Mending: wait for a missing member, use a spare, split another broken group, rebuild, or cross
-//! fabric domains, whichever is expected to cost least.
+//! Repair of broken groups: wait for the missing members, use spares, rebuild the group elsewhere,
+//! take the hosts of another broken group, or cross fabric domains, by expected cost.
 
 use std::time::Duration;
 
@@ -12,25 +12,31 @@
 use super::service::{GroupDisposition, ServicePlan};
 use super::survey::GroupSurvey;
 
-/// A dark fabric domain stays away this many times as long as a restarted host.
+/// Expected length of a domain outage, in multiples of the time that a host takes to restart.
 const OUTAGE_RESTART_FACTOR: u64 = 3;
 
-/// How often a group that waits without a spare is looked at again.
+/// How often a group that waits without a spare is planned again.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// One broken group with what is known about its missing members.
+/// A broken group and what is known about its missing members.
 pub(super) struct BrokenGroup<'a> {
+    /// Its slot in `ServicePlan::groups`.
     pub(super) slot: usize,
+    /// Its index in `FleetSurvey::groups`.
     pub(super) survey_index: usize,
     pub(super) survey: &'a GroupSurvey<'a>,
+    /// Announcement of a member, if possible of a present one; gives zone, provider and domain.
     pub(super) place: Option<&'a HostAnnouncement>,
+    /// Length of the domain outage if there is one, otherwise of the longest absence of a member.
     pub(super) absent_seconds: f64,
+    /// Whether its fabric domain has an outage or is still recovering from one.
     pub(super) in_outage: bool,
+    /// Whether a missing member had announced to leave or is presumed permanently lost.
     pub(super) unrecoverable: bool,
 }
 
 impl ServicePlan<'_> {
-    /// Decides for every group that lacks members, those first that lack least.
+    /// Decides what to do with each broken group, in ascending order of missing members.
     pub(super) fn repair_broken(&mut self, context: &mut RoundContext<'_>) {
         let mut order: Vec<usize> = (0..self.groups.len())
             .filter(|slot| self.dispositions[*slot] != GroupDisposition::Handled)
@@ -92,7 +98,7 @@
         {
             return self.dissolve_unrecoverable(context, broken);
         }
-        // While a fabric domain comes back, its first hosts are not put in other places.
+        // While a fabric domain recovers, its first hosts are not moved to other ranks.
         if spares >= lacking && !broken.in_outage {
             return self.repair_with_spares(context, broken);
         }
@@ -118,7 +124,8 @@
         context.round.request_replan(context.now.after(RECHECK_INTERVAL));
     }
 
-    /// Replaces now if no later time is expected to be cheaper, and waits otherwise.
+    /// Replaces members or the group now if replacing later is not expected to cost less; otherwise
+    /// waits.
     pub(super) fn replace_or_wait(
         &mut self,
         context: &mut RoundContext<'_>,
@@ -142,6 +149,7 @@
         self.record_repair_decision(context, broken, reason, (replace_seconds, Some(wait)));
     }
 
+    /// Compares waiting, for at most the time that the rules allow, with replacing now.
     pub(super) fn estimate_wait(
         &self,
         context: &RoundContext<'_>,
@@ -177,6 +185,7 @@
         estimate
     }
 
+    /// Expected seconds until the group is whole again if it only waits.
     pub(super) fn expected_wait(
         &self,
         context: &RoundContext<'_>,
@@ -194,7 +203,7 @@
         model.expected_wait(&self.rules, broken.absent_seconds, load)
     }
 
-    /// Frees the members of a group that waits for a host that will not come back.
+    /// Dissolves a group that would wait for a host that is not expected back.
     fn dissolve_unrecoverable(&mut self, context: &mut RoundContext<'_>, broken: &BrokenGroup<'_>) {
         if broken.unrecoverable {
             context.dissolve(broken.survey_index);
@@ -203,7 +212,7 @@
         }
     }
 
-    /// Cost of one second in which the group is down and its present hosts are stranded.
+    /// Cost of one second of downtime of the group, with its present hosts stranded.
     pub(super) fn broken_cost_rate(&self, broken: &BrokenGroup<'_>) -> f64 {
         let accelerators =
             broken.survey.present_member.map_or(0, |announcement| announcement.accelerators);
@@ -211,6 +220,7 @@
         self.downtime_cost_rate(f64::from(accelerators) * present as f64)
     }
 
+    /// Records a decision on a broken group; the costs are given in seconds of its downtime.
     pub(super) fn record_repair_decision(
         &self,
         context: &mut RoundContext<'_>,
--- a/crates/placement/src/planner/capacity.rs
+++ b/crates/placement/src/planner/replicas.rs
@@ -1,4 +1,4 @@
-//! Filling up to the wanted number of groups, and letting go of groups that are no longer needed.
+//! Number of groups: forms groups that are missing and dissolves groups that are not needed.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use super::service::{GroupDisposition, ServicePlan};
 
 impl ServicePlan<'_> {
-    /// Takes note that a group was put in the place of another in this round.
+    /// Counts a group that has replaced another in this round.
     pub(super) fn count_successor(&mut self) {
         self.successors += 1;
     }
 
-    /// Groups that count as replicas: those kept and those that this round put in place of others.
+    /// Number of groups that count as replicas: kept ones and replacements made in this round.
     fn replica_count(&self) -> usize {
         self.successors + self.count_groups(|disposition| disposition == GroupDisposition::Keep)
     }
 
-    /// Forms groups for replicas that are missing, and ahead of groups that are to make way.
+    /// Forms groups for missing replicas and successors of superseded groups.
     pub(super) fn form_missing(&mut self, context: &mut RoundContext<'_>) {
         let mut lacking = self.wanted().saturating_sub(self.replica_count());
         self.reserved_spares = self.reserved_by_place();
@@ -42,9 +42,10 @@
         }
     }
 
-    /// Forms groups that nobody misses yet, as far as the rules ask for them.
+    /// Forms as many standby groups as the rules ask for.
     ///
-    /// The hosts are idle anyway; loaded, they take over the moment a group fails.
+    /// Their hosts would be idle otherwise; with weights loaded they take over as soon as another
+    /// group fails.
     fn form_standby(&mut self, context: &mut RoundContext<'_>) {
         let max_groups = self.wanted() + self.rules.standby as usize;
         let superseded_groups =
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Groups that need a successor, the most urgent first, with the provider rank that the
-    /// successor has to stay below.
+    /// Reasons of superseded groups, the most urgent first, each with the provider rank that the
+    /// successor has to be below.
     fn superseded(&self, context: &RoundContext<'_>) -> Vec<(PlanReason, usize)> {
         let mut superseded: Vec<(bool, PlanReason, usize)> = (0..self.groups.len())
             .filter_map(|slot| match self.dispositions[slot] {
@@ -88,7 +89,7 @@
         below_rank: usize,
     ) -> bool {
         let size = self.size();
-        // The successor of a group is a repair itself.
+        // The successor of a group is a repair, so it may use the hosts reserved for repairs.
         let additions = [PlanReason::MissingReplica, PlanReason::StandbyReplica];
         let is_repair = !additions.contains(&reason);
         let reserved =
@@ -115,13 +116,13 @@
         true
     }
 
-    /// Hosts of each place that the rules keep for repairs.
+    /// Number of hosts that the rules reserve for repairs, for each place of the pool.
     fn reserved_by_place(&self) -> Vec<usize> {
         let places = self.pool.places.iter();
         places.map(|place| self.rules_at(place.zone, place.provider).spares as usize).collect()
     }
 
-    /// Forms a group over several fabric domains of one provider, the last resort.
+    /// Forms a group across several fabric domains of one provider, as a last resort.
     fn form_across_domains(&mut self, context: &mut RoundContext<'_>) -> bool {
         let size = self.size();
         if !self.rules.cross_domain
@@ -150,7 +151,7 @@
         true
     }
 
-    /// Whether a host of this service vanished so recently that it is still waited for.
+    /// Whether an absent host of this service is still within the wait limit of the rules.
     fn awaits_return(&self, context: &RoundContext<'_>) -> bool {
         let limit = Duration::from_millis(self.rules.wait_ms);
         context
@@ -169,7 +170,7 @@
         context.record_decision(&self.service.name, None, reason, (cost, None));
     }
 
-    /// Ends groups whose successors serve, and groups beyond the wanted number.
+    /// Dissolves superseded groups whose successors serve, and groups beyond the wanted number.
     pub(super) fn dissolve_unneeded(&mut self, context: &mut RoundContext<'_>) {
         for slot in 0..self.groups.len() {
             if matches!(self.dispositions[slot], GroupDisposition::Supersede(_))
@@ -182,16 +183,16 @@
         self.dissolve_for_resize(context);
     }
 
-    /// Whether enough groups serve without this one.
+    /// Whether enough groups serve without the one in `slot`.
     fn is_expendable(&self, context: &RoundContext<'_>, slot: usize) -> bool {
         let serves = context.survey.groups[self.groups[slot]].serves();
         self.serving(context) >= self.wanted() + usize::from(serves)
     }
 
-    /// Ends the least useful groups beyond the wanted number.
+    /// Dissolves the least useful groups beyond the wanted number.
     ///
-    /// Only as many candidates as there are too many are looked at: when the least useful group
-    /// still serves in place of its successor, the successor must not go instead of it.
+    /// Considers only as many candidates as there are surplus groups: if the least useful group is
+    /// still needed until its successor serves, the successor must not be dissolved in its place.
     fn dissolve_surplus(&mut self, context: &mut RoundContext<'_>) {
         let max_groups = self.wanted() + self.rules.standby as usize;
         let excess = self.replica_count().saturating_sub(max_groups);
@@ -221,7 +222,8 @@
         }
     }
 
-    /// Makes room for groups of another size, one at a time, when no hosts are free for them.
+    /// Dissolves groups of another size than declared, one at a time, if there are too few free
+    /// hosts to form a group of the declared size.
     fn dissolve_for_resize(&mut self, context: &mut RoundContext<'_>) {
         let size = self.size();
         let wrong_size = |slot: &usize| {
--- a/crates/placement/src/planner/service.rs
+++ b/crates/placement/src/planner/service.rs
@@ -1,4 +1,5 @@
-//! One service in one round: sort its groups, mend what is broken, fill up, let go of the rest.
+//! Plan of one service in one round: classifies its groups, repairs broken ones, forms missing
+//! ones and dissolves those that are not needed.
 
 use briartray_model::names::{HostName, ProviderName, ZoneName};
 use briartray_model::rules::{DecisionFacts, PlaceAction, RuleBook, ServiceDeclaration};
@@ -8,32 +9,34 @@
 use super::reason::PlanReason;
 use crate::accounting::place_rules;
 
-/// What is to become of a group.
+/// What this round does with a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GroupDisposition {
-    /// It counts as one replica.
+    /// It is kept and counts as a replica.
     Keep,
-    /// It ends once another serves in its place.
+    /// It is dissolved once its successor serves.
     Supersede(PlanReason),
-    /// It has been dealt with in this round and no longer counts.
+    /// It has been replaced or dissolved in this round and is not considered again.
     Handled,
 }
 
 /// The groups and free hosts of one service during one round.
+///
+/// `groups` and `dispositions` share their index, which is called the slot of a group.
 pub(super) struct ServicePlan<'a> {
     pub(super) service: &'a ServiceDeclaration,
     book: &'a RuleBook,
-    /// Rules for the whole service, or for the place of the group that is being mended.
+    /// Rules of the service, or of the place of the group that is being repaired.
     pub(super) rules: PlaceAction,
-    /// Positions in the survey.
+    /// Indices in `FleetSurvey::groups`.
     pub(super) groups: Vec<usize>,
     pub(super) dispositions: Vec<GroupDisposition>,
     pub(super) pool: FreePool<'a>,
-    /// Hosts of each place that are kept for repairs.
+    /// Number of hosts that are reserved for repairs, by index in `pool.places`.
     pub(super) reserved_spares: Vec<usize>,
-    /// Groups that this round put in the place of others.
+    /// Number of groups that have replaced others in this round.
     pub(super) successors: usize,
-    /// Groups that this round has formed.
+    /// Number of groups formed in this round.
     pub(super) formed: usize,
 }
 
@@ -61,7 +64,7 @@
 
     pub(super) fn run(mut self, context: &mut RoundContext<'_>) {
         if context.settled {
-            self.refresh_addresses(context);
+            self.reassign_changed_addresses(context);
             self.mark_superseded(context);
             self.repair_broken(context);
             self.replace_loading_members(context);
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Rules for hosts of one place: they may differ by availability zone and provider.
+    /// Rules for hosts of one place; they may differ by availability zone and provider.
     pub(super) fn rules_at(&self, zone: &ZoneName, provider: &ProviderName) -> PlaceAction {
         let facts = DecisionFacts {
             service: Some(self.service.name.as_str()),
@@ -85,15 +88,18 @@
         self.book.place(&facts).1
     }
 
+    /// Hosts per group, at least one.
     pub(super) fn size(&self) -> usize {
         (self.service.hosts_per_replica as usize).max(1)
     }
 
+    /// Declared number of replicas.
     pub(super) fn wanted(&self) -> usize {
         self.service.replicas as usize
     }
 
-    /// Time to load the weights of `hosts` hosts while others load too, in seconds.
+    /// Time to load weights onto `hosts` hosts, in seconds, with the weight store shared among all
+    /// running loads.
     pub(super) fn load_seconds(&self, context: &RoundContext<'_>, hosts: usize) -> f64 {
         let alone = self.rules.load_ms as f64 / 1000.0;
         match self.rules.parallel_loads {
@@ -102,18 +108,18 @@
         }
     }
 
-    /// Whether the weight store has room for `hosts` more; a lone group is never held back.
+    /// Whether the weight store has capacity for `hosts` more loads; always if none is running.
     pub(super) fn has_load_capacity(&self, context: &RoundContext<'_>, hosts: usize) -> bool {
         let limit = self.rules.parallel_loads as usize;
         limit == 0 || context.running_loads == 0 || context.running_loads + hosts <= limit
     }
 
-    /// Cost of one second without a group of this service, given its accelerators.
+    /// Cost of one second of downtime of a group that strands `accelerators`.
     pub(super) fn downtime_cost_rate(&self, accelerators: f64) -> f64 {
         self.rules.downtime_weight + self.rules.stranded_weight * accelerators
     }
 
-    /// Position of a provider in the order of preference; unnamed ones come last.
+    /// Position of a provider in the order of preference; providers not named there come last.
     pub(super) fn provider_rank(&self, provider: &ProviderName) -> usize {
         let order = &self.rules.providers;
         order.iter().position(|name| name == provider.as_str()).unwrap_or(order.len())
@@ -123,7 +129,7 @@
         self.dispositions.iter().filter(|disposition| matches(**disposition)).count()
     }
 
-    /// Groups of this service that serve and have not been ended in this round.
+    /// Number of groups that serve and have not been replaced or dissolved in this round.
     pub(super) fn serving(&self, context: &RoundContext<'_>) -> usize {
         (0..self.groups.len())
             .filter(|slot| self.dispositions[*slot] != GroupDisposition::Handled)
@@ -131,9 +137,11 @@
             .count()
     }
 
+    /// Assigns groups anew that have the same members at other addresses.
+    ///
     /// A member that restarted on another port cannot be reached under the old assignment, so the
-    /// group would never become whole again; the same members get a new one.
-    fn refresh_addresses(&mut self, context: &mut RoundContext<'_>) {
+    /// group would never become whole again.
+    fn reassign_changed_addresses(&mut self, context: &mut RoundContext<'_>) {
         for slot in 0..self.groups.len() {
             let survey_index = self.groups[slot];
             let survey = &context.survey.groups[survey_index];
@@ -153,10 +161,10 @@
         }
     }
 
-    /// Marks groups that should make way for another one.
+    /// Marks groups that should be replaced by another one.
     fn mark_superseded(&mut self, context: &RoundContext<'_>) {
         let size = self.size();
-        let best = self
+        let best_rank = self
             .pool
             .places
             .iter()
@@ -175,17 +183,19 @@
                 self.dispositions[slot] = GroupDisposition::Supersede(PlanReason::NotDeclared);
             } else if !survey.leaving.is_empty() {
                 self.dispositions[slot] = GroupDisposition::Supersede(PlanReason::MemberLeaving);
-            } else if best.is_some() && best < rank {
+            } else if best_rank.is_some() && best_rank < rank {
                 self.dispositions[slot] =
                     GroupDisposition::Supersede(PlanReason::ProviderPreferred);
-            } else if best.is_some() && self.crossing_members(context, self.groups[slot]).is_some()
+            } else if best_rank.is_some()
+                && self.crossing_members(context, self.groups[slot]).is_some()
             {
                 self.dispositions[slot] = GroupDisposition::Supersede(PlanReason::ComeHome);
             }
         }
     }
 
-    /// Members outside the fabric domain that most members share; `None` when there is none.
+    /// Members outside the fabric domain that most members share; `None` if there are none, or if
+    /// the rules forbid groups across domains.
     pub(super) fn crossing_members(
         &self,
         context: &RoundContext<'_>,
--- a/crates/placement/src/planner/spares.rs
+++ b/crates/placement/src/planner/spares.rs
@@ -1,4 +1,4 @@
-//! Spares: loaded ahead while missing hosts may return, and swapped in for leaving ones.
+//! Repair with spares: free hosts of the same place, prepared before they replace a member.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use super::repair::BrokenGroup;
 use super::service::{GroupDisposition, ServicePlan};
 
-/// A load that ends this soon is waited for.
+/// A member whose load ends sooner than this is not replaced by a spare.
 const MIN_LOAD_SAVING: Duration = Duration::from_secs(5);
 
 impl ServicePlan<'_> {
-    /// Lets spares load ahead while the missing hosts may still come back.
+    /// Prepares spares while the missing hosts may still return, and uses them once ready.
     ///
-    /// Whoever is ready first mends the group: a host that only restarted its agent finds its
-    /// place kept, and a host that stays away costs no more than the load of its replacement.
+    /// Whichever is ready first completes the group: a host that only restarted its agent keeps
+    /// its rank, and a host that stays absent costs no more than the load of its replacement.
     pub(super) fn repair_with_spares(
         &mut self,
         context: &mut RoundContext<'_>,
@@ -34,7 +34,8 @@
             return self.replace_or_wait(context, broken, replace_seconds, PlanReason::UseSpare);
         };
         if ready > context.now && (worth_waiting || wait_limit > 0.0) && !broken.unrecoverable {
-            let left = ready.since(context.now).min(Duration::from_secs_f64(wait_limit.max(0.0)));
+            let time_left =
+                ready.since(context.now).min(Duration::from_secs_f64(wait_limit.max(0.0)));
             let cost = ready.since(context.now).as_secs_f64();
             self.record_repair_decision(
                 context,
@@ -42,18 +43,19 @@
                 PlanReason::WaitForReturn,
                 (cost, Some(replace_seconds)),
             );
-            return context.round.request_replan(context.now.after(left));
+            return context.round.request_replan(context.now.after(time_left));
         }
         context.replace(broken.survey_index, members);
         self.dispositions[broken.slot] = GroupDisposition::Handled;
         self.count_successor();
         let wait = self.expected_wait(context, broken);
-        let left = ready.since(context.now).as_secs_f64();
-        self.record_repair_decision(context, broken, PlanReason::UseSpare, (left, Some(wait)));
+        let time_left = ready.since(context.now).as_secs_f64();
+        self.record_repair_decision(context, broken, PlanReason::UseSpare, (time_left, Some(wait)));
     }
 
-    /// Members with spares in place of those that are missing, and when the last spare is ready;
-    /// none when the weight store has no room for a load ahead.
+    /// Returns the members with spares in place of missing ones, and when the last spare is ready.
+    ///
+    /// `None` if the weight store has no capacity to prepare the spares.
     fn reserve_spares(
         &mut self,
         context: &mut RoundContext<'_>,
@@ -73,10 +75,10 @@
         )
     }
 
-    /// Puts spares that are loaded in the place of members that came back and still load.
+    /// Replaces returned members that still load by spares that are ready.
     ///
-    /// A host that returns just before its spare is ready would otherwise keep the group down for
-    /// a whole load more, beside a spare that could serve at once.
+    /// Otherwise a host that returns just before its spare is ready would keep the group down for
+    /// another whole load, although the spare could serve at once.
     pub(super) fn replace_loading_members(&mut self, context: &mut RoundContext<'_>) {
         for slot in 0..self.groups.len() {
             let survey_index = self.groups[slot];
@@ -85,12 +87,12 @@
             if !waits || self.dispositions[slot] != GroupDisposition::Keep {
                 continue;
             }
-            if let Some((members, left)) = self.loaded_spares(context, survey_index) {
+            if let Some((members, time_left)) = self.loaded_spares(context, survey_index) {
                 context.replace(survey_index, members);
                 self.dispositions[slot] = GroupDisposition::Handled;
                 self.count_successor();
                 let reason = PlanReason::UseSpare;
-                let costs = (0.0, Some(left * self.downtime_cost_rate(0.0)));
+                let costs = (0.0, Some(time_left * self.downtime_cost_rate(0.0)));
                 context.record_decision(
                     &self.service.name,
                     Some(survey.group.group),
@@ -101,8 +103,9 @@
         }
     }
 
-    /// Members with loaded spares in place of those that load, and the seconds that this saves;
-    /// none when a spare is not ready, or hardly earlier than the member.
+    /// Returns the members with a ready spare in place of a loading one, and the seconds saved.
+    ///
+    /// `None` if no spare is ready, or if it would save less than `MIN_LOAD_SAVING`.
     fn loaded_spares(
         &mut self,
         context: &mut RoundContext<'_>,
@@ -115,11 +118,12 @@
         let mut members = survey.group.members.clone();
         let loading: Vec<usize> =
             (0..members.len()).filter(|rank| context.memory.is_unloaded(&members[*rank])).collect();
-        let back = loading.iter().filter_map(|rank| context.view.hosts.get(&members[*rank]));
-        let since = back.map(|host| host.since).chain([survey.group.since]).max()?;
-        let left = since.after(load).since(context.now);
-        // With one spare at most for each member the positions cannot clash.
-        if loading.len() != 1 || left < MIN_LOAD_SAVING {
+        let loading_hosts =
+            loading.iter().filter_map(|rank| context.view.hosts.get(&members[*rank]));
+        let since = loading_hosts.map(|host| host.since).chain([survey.group.since]).max()?;
+        let time_left = since.after(load).since(context.now);
+        // Limited to one loading member, so that no two ranks compete for the same spare.
+        if loading.len() != 1 || time_left < MIN_LOAD_SAVING {
             return None;
         }
         let rank = loading[0];
@@ -129,9 +133,10 @@
             return None;
         }
         members[rank] = pool.take_for_rank(rank)?;
-        Some((members, left.as_secs_f64()))
+        Some((members, time_left.as_secs_f64()))
     }
 
+    /// Replaces the missing members by spares at once.
     pub(super) fn use_spares(&mut self, context: &mut RoundContext<'_>, broken: &BrokenGroup<'_>) {
         let Some(place) = broken.place else { return };
         let Some(pool) = self.pool.place(&place.provider, &place.domain) else { return };
@@ -148,8 +153,9 @@
         self.count_successor();
     }
 
-    /// Replaces members that are on their way out, one serving group at a time, where no whole
-    /// new group can be formed first.
+    /// Replaces leaving members of serving groups if there are too few free hosts for a new group.
+    ///
+    /// Stops as soon as fewer groups serve than replicas are declared.
     pub(super) fn swap_leaving_members(&mut self, context: &mut RoundContext<'_>) {
         let size = self.size();
         if self.pool.places.iter().any(|place| place.len() >= size) {
@@ -178,7 +184,7 @@
         }
     }
 
-    /// Swaps the leaving members once their spares are ready; until then the group serves on.
+    /// Replaces the leaving members once their spares are ready; the group serves until then.
     fn swap_members(&mut self, context: &mut RoundContext<'_>, survey_index: usize) -> bool {
         let survey = &context.survey.groups[survey_index];
         let Some(place) = survey.present_member else { return false };
@@ -200,8 +206,10 @@
     }
 }
 
-/// Takes a spare for each member in `outgoing`, and lets it load ahead for `seconds` unless it is or
-/// soon will be ready; without `seconds` only spares that need no new load will do.
+/// Takes a spare for each member in `outgoing`, and prepares those that are not ready or loading.
+///
+/// A preparation takes `seconds`; if that is `None`, only spares that need none are used. Returns
+/// the new members and when the last spare is ready.
 fn reserve(
     context: &mut RoundContext<'_>,
     pool: &mut PlacePool<'_>,
@@ -212,13 +220,13 @@
     let mut members = context.survey.groups[survey_index].group.members.clone();
     let ranks: Vec<usize> =
         (0..members.len()).filter(|rank| outgoing.contains(&&members[*rank])).collect();
-    let seen = |rank: usize| {
+    let ready_for_rank = |rank: usize| {
         pool.peek_for_rank(rank).and_then(|h| context.memory.ready_at(context.now, h, rank))
     };
-    if seconds.is_none() && !ranks.iter().all(|rank| seen(*rank).is_some()) {
+    if seconds.is_none() && !ranks.iter().all(|rank| ready_for_rank(*rank).is_some()) {
         return None;
     }
-    let mut last = context.now;
+    let mut all_ready = context.now;
     for rank in ranks {
         let host = pool.take_for_rank(rank)?;
         let ready = match context.memory.ready_at(context.now, &host, rank) {
@@ -226,8 +234,8 @@
             None if !context.prepares_hosts => context.now,
             None => context.prepare(survey_index, rank, &host, seconds?),
         };
-        last = last.max(ready);
+        all_ready = all_ready.max(ready);
         members[rank] = host;
     }
-    Some((members, last))
+    Some((members, all_ready))
 }
--- a/crates/placement/src/planner/split.rs
+++ b/crates/placement/src/planner/split.rs
@@ -1,4 +1,4 @@
-//! Without spares: another broken group gives up its members, or fabric domains are crossed.
+//! Repair without spares: with the hosts of another broken group or of other fabric domains.
 
 use briartray_model::names::HostName;
 
@@ -8,11 +8,11 @@
 use super::service::{GroupDisposition, ServicePlan};
 
 impl ServicePlan<'_> {
-    /// Ends another broken group of the same place and takes its members.
+    /// Dissolves another broken group of the same place and completes this one with its hosts.
     ///
-    /// Two groups that each lack a host strand all of their other hosts; one of the two can serve.
-    /// The other then has to wait for all of the missing hosts and load anew, which the price of
-    /// the split includes.
+    /// Two groups that each lack a host strand all of their other hosts, which are enough for one
+    /// serving group. The dissolved group then has to wait for all of the missing hosts and to load
+    /// its weights again, which the cost of the split includes.
     pub(super) fn split_other(
         &mut self,
         context: &mut RoundContext<'_>,
@@ -54,8 +54,10 @@
         true
     }
 
-    /// Patience of the cost model alone: the rules' longest wait is meant for replacements that
-    /// take nothing from anyone else.
+    /// How much longer to wait according to the cost model alone, in seconds.
+    ///
+    /// The wait limit of the rules is left out: it is meant for replacements that take no hosts
+    /// from other groups or domains.
     fn wait_beyond_limit(
         &self,
         context: &RoundContext<'_>,
@@ -94,7 +96,7 @@
             if !broken.survey.missing.contains(&&*member) {
                 continue;
             }
-            // A host that held the same position elsewhere has the right weights loaded already.
+            // A host that had the same rank in the other group has the right weights loaded.
             let same = offered.iter().position(|(other, _)| *other == rank).unwrap_or(0);
             if same < offered.len() {
                 *member = offered.remove(same).1;
@@ -107,7 +109,7 @@
         self.count_successor();
     }
 
-    /// The last resort: hosts of another fabric domain of the same provider.
+    /// Completes the group with hosts of other fabric domains of its provider, as a last resort.
     pub(super) fn cross_domains(
         &mut self,
         context: &mut RoundContext<'_>,
@@ -120,8 +122,8 @@
         {
             return false;
         }
-        // A slow group loses part of its worth to callers and strands nobody, so the more stranded
-        // accelerators weigh, the sooner fabric domains are crossed.
+        // A group across domains serves callers more slowly and strands no accelerators. The more
+        // weight stranded accelerators have, the sooner fabric domains are crossed.
         let lost = f64::from(self.rules.cross_domain_loss_percent) / 100.0;
         let slow = lost * self.rules.downtime_weight
             / self.broken_cost_rate(broken).max(f64::MIN_POSITIVE);
--- a/crates/placement/src/planner/survey.rs
+++ b/crates/placement/src/planner/survey.rs
@@ -1,50 +1,50 @@
-//! One pass over the fleet: which groups lack members, which hosts are free.
+//! Survey of the fleet at the start of a round: missing members, free hosts, hosts per domain.
 
 use briartray_model::message::HostAnnouncement;
 use briartray_model::names::{DomainName, GroupId, HostName, ProviderName, ServiceName};
 
 use super::{FleetView, GroupView, HostView};
 
-/// State of one group as far as control can see.
+/// State of one group as seen by control.
 #[derive(Debug, Clone)]
 pub(super) struct GroupSurvey<'a> {
     pub(super) group: &'a GroupView,
-    /// Members that are not there.
+    /// Members that are absent.
     pub(super) missing: Vec<&'a HostName>,
-    /// Members that are there and on their way out.
+    /// Present members that have announced to leave.
     pub(super) leaving: Vec<&'a HostName>,
-    /// A member that is there; tells provider and fabric domain.
+    /// Announcement of a present member; gives zone, provider and fabric domain.
     pub(super) present_member: Option<&'a HostAnnouncement>,
     present: usize,
 }
 
 impl GroupSurvey<'_> {
-    /// Whether the group serves: the first host's word counts, unless it is missing itself.
+    /// Whether the group serves, according to its first host; `false` if the first host is absent.
     pub(super) fn serves(&self) -> bool {
         let first = self.group.members.first();
         self.group.whole && !self.missing.iter().any(|host| Some(*host) == first)
     }
 
-    /// Whether members are missing and the group therefore does not serve.
+    /// Whether members are missing and the group does not serve.
     pub(super) fn is_broken(&self) -> bool {
         !self.missing.is_empty() && !self.serves()
     }
 }
 
-/// What one pass over the fleet found.
+/// Result of one pass over the fleet.
 #[derive(Debug)]
 pub(super) struct FleetSurvey<'a> {
-    /// Groups in id order.
+    /// Groups in the order of their identifiers.
     pub(super) groups: Vec<GroupSurvey<'a>>,
-    /// Hosts that belong to no group and may be used, in order of service and place.
+    /// Free hosts that are present and not leaving, ordered by service and place.
     pub(super) free: Vec<&'a HostView>,
-    /// Hosts that are known and absent.
+    /// Known hosts that are absent.
     pub(super) absent: Vec<&'a HostView>,
-    /// Hosts per fabric domain: present and absent members of groups, by domain name.
+    /// Group members per fabric domain, ordered by domain name.
     pub(super) domains: Vec<DomainCount<'a>>,
 }
 
-/// Members of groups in one fabric domain.
+/// Number of group members in one fabric domain.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct DomainCount<'a> {
     pub(super) domain: &'a DomainName,
@@ -53,7 +53,7 @@
 }
 
 impl<'a> FleetSurvey<'a> {
-    /// Looks at every host once and at the members of groups that lack some.
+    /// Surveys `view` in one pass over the hosts, and another over the members of broken groups.
     pub(super) fn take(view: &'a FleetView) -> Self {
         let mut survey = Self {
             groups: view.groups.values().map(group_survey).collect(),
@@ -62,9 +62,9 @@
             domains: Vec::new(),
         };
         let ids: Vec<GroupId> = view.groups.keys().copied().collect();
-        let mut last = 0;
+        let mut last_domain = 0;
         for host in view.hosts.values() {
-            survey.add_host(host, &ids, &mut last);
+            survey.add_host(host, &ids, &mut last_domain);
         }
         for group in &mut survey.groups {
             if group.present < group.group.members.len() {
@@ -80,21 +80,21 @@
         survey
     }
 
-    /// Whether most grouped hosts of `domain` are missing at the same time.
+    /// Whether most group members in `domain` are absent at the same time.
     pub(super) fn has_outage(&self, domain: &DomainName) -> bool {
         self.domains
             .binary_search_by(|count| count.domain.cmp(domain))
             .is_ok_and(|index| self.domains[index].has_outage())
     }
 
-    /// Whether a member of a group is missing in `domain`.
+    /// Whether a group member in `domain` is absent.
     pub(super) fn has_absent_members(&self, domain: &DomainName) -> bool {
         self.domains
             .binary_search_by(|count| count.domain.cmp(domain))
             .is_ok_and(|index| self.domains[index].absent > 0)
     }
 
-    fn add_host(&mut self, host: &'a HostView, ids: &[GroupId], last: &mut usize) {
+    fn add_host(&mut self, host: &'a HostView, ids: &[GroupId], last_domain: &mut usize) {
         if !host.present {
             self.absent.push(host);
         }
@@ -104,7 +104,7 @@
             }
             return;
         };
-        self.count_in_domain(host, last);
+        self.count_in_domain(host, last_domain);
         let Ok(index) = ids.binary_search(&id) else { return };
         if !host.present {
             return;
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Counts the host for its fabric domain; neighbours mostly share one, so the last is tried
-    /// first.
-    fn count_in_domain(&mut self, host: &'a HostView, last: &mut usize) {
+    /// Counts `host` for its fabric domain. Adjacent hosts mostly share a domain, so the domain of
+    /// the previous host is tried first.
+    fn count_in_domain(&mut self, host: &'a HostView, last_domain: &mut usize) {
         let domain = &host.announcement.domain;
-        if self.domains.get(*last).is_none_or(|count| count.domain != domain) {
-            *last = match self.domains.binary_search_by(|count| count.domain.cmp(domain)) {
+        if self.domains.get(*last_domain).is_none_or(|count| count.domain != domain) {
+            *last_domain = match self.domains.binary_search_by(|count| count.domain.cmp(domain)) {
                 Ok(index) => index,
                 Err(index) => {
                     self.domains.insert(index, DomainCount { domain, present: 0, absent: 0 });
@@ -131,15 +131,15 @@
             };
         }
         if host.present {
-            self.domains[*last].present += 1;
+            self.domains[*last_domain].present += 1;
         } else {
-            self.domains[*last].absent += 1;
+            self.domains[*last_domain].absent += 1;
         }
     }
 }
 
 impl DomainCount<'_> {
-    /// Fewer missing hosts than this are taken for single losses.
+    /// Fewer absent hosts than this are treated as separate losses, not as a domain outage.
     const OUTAGE_MIN_HOSTS: usize = 4;
 
     pub(super) fn has_outage(&self) -> bool {
@@ -164,7 +164,7 @@
     (&announcement.service, &announcement.provider, &announcement.domain, &announcement.host)
 }
 
-/// The groups of one service, by position in the survey.
+/// Indices in `FleetSurvey::groups` of the groups of `service`.
 pub(super) fn groups_of_service(survey: &FleetSurvey<'_>, service: &ServiceName) -> Vec<usize> {
     (0..survey.groups.len())
         .filter(|index| survey.groups[*index].group.service == *service)
--- a/crates/placement/src/replay/engine.rs
+++ b/crates/placement/src/replay/engine.rs
@@ -1,19 +1,20 @@
-//! Engines of a replay: which weights each host holds, and loads that share the weight store.
+//! Simulated engines: the weights loaded on each host, and loads that share the weight store.
 
 use briartray_model::SortedTable;
 use briartray_model::names::HostName;
 
-/// The part of a model that one host holds: its position and the number of hosts.
+/// The part of a model that one host loads: its rank and the number of hosts in the group.
 pub(super) type ShardKey = (usize, usize);
 
+/// A load in progress.
 #[derive(Debug, Clone, PartialEq)]
 struct HostLoad {
     shard: ShardKey,
-    /// Seconds left at full speed.
+    /// Seconds until it ends at full speed.
     seconds_left: f64,
 }
 
-/// Weights on hosts and loads in progress.
+/// Weights loaded on hosts, and loads in progress.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct EngineFleet {
     loaded: SortedTable<HostName, ShardKey>,
@@ -31,12 +32,12 @@
         self.parallel_loads = parallel_loads;
     }
 
-    /// Whether `host` is ready to work as `shard`.
+    /// Whether `host` has the weights of `shard` loaded.
     pub(super) fn is_ready(&self, host: &HostName, shard: ShardKey) -> bool {
         self.loaded.get(host) == Some(&shard)
     }
 
-    /// Orders `host` to hold `shard`; a load in progress for the same goes on.
+    /// Starts to load `shard` on `host`, unless it is loaded or being loaded already.
     pub(super) fn request_load(&mut self, host: &HostName, shard: ShardKey) {
         if self.is_ready(host, shard) {
             self.loads.remove(host);
@@ -49,24 +50,24 @@
         self.loads.insert(host.clone(), HostLoad { shard, seconds_left: self.load_seconds });
     }
 
-    /// Ends a load, as when the host vanishes or is freed.
+    /// Cancels the load of a host that disappears or is freed.
     pub(super) fn cancel_load(&mut self, host: &HostName) {
         self.loads.remove(host);
     }
 
-    /// Forgets the weights of a host whose engine restarted.
+    /// Discards the weights of a host whose engine restarted.
     pub(super) fn discard_weights(&mut self, host: &HostName) {
         self.loaded.remove(host);
         self.loads.remove(host);
     }
 
-    /// Seconds until the next load ends.
+    /// Seconds until the next load ends; `None` if none is running.
     pub(super) fn next_load_end(&self) -> Option<f64> {
         let least = self.loads.values().map(|load| load.seconds_left).reduce(f64::min)?;
         Some(least / self.load_speed())
     }
 
-    /// Lets `seconds` pass; returns the hosts whose loads ended.
+    /// Advances the loads by `seconds`; returns the hosts whose loads have ended.
     pub(super) fn advance(&mut self, seconds: f64) -> Vec<HostName> {
         let progress = seconds * self.load_speed();
         let loaded = &mut self.loaded;
@@ -83,6 +84,7 @@
         ended
     }
 
+    /// Speed of each load relative to a load that runs alone.
     fn load_speed(&self) -> f64 {
         let running = self.loads.len() as f64;
         match self.parallel_loads {
@@ -92,5 +94,5 @@
     }
 }
 
-/// Time points are whole microseconds; what is left below a few of them is done.
+/// A load with less than this left has ended: time points are rounded to whole microseconds.
 const LOAD_END_TOLERANCE_SECONDS: f64 = 5e-6;
--- a/crates/placement/src/replay/fleet.rs
+++ b/crates/placement/src/replay/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet stepped through events: hosts, engines, the registry and the account.
+//! Simulated fleet of a replay: hosts, engines, the group registry and the account.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::accounting::{FleetAccount, FleetRates};
 use crate::planner::{FleetView, GroupView, HostView, PlanAction, command_for};
 
-/// Time for the members' leases after a group is formed or its last host is ready.
+/// Time that a group takes to obtain the leases of all members once they are ready.
 const LEASE_SETUP_TIME: Duration = Duration::from_secs(1);
 
-/// How long a host that went away and belongs to no group is remembered.
+/// How long an absent host that belongs to no group stays in the view.
 const ABSENT_HOST_RETENTION: Duration = Duration::from_secs(3600);
 
-/// How often hosts that went away are looked through.
+/// Time between two removals of absent hosts.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The state of a replay between two events.
+/// State of a replay between two events.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplayFleet {
     now: TimePoint,
@@ -33,9 +33,9 @@
     view: FleetView,
     engines: EngineFleet,
     reference: ReferenceRegistry,
-    /// Groups whose hosts are ready and that serve from then on.
+    /// Groups whose hosts are all ready, with the time when they become whole.
     activations: SortedTable<GroupId, TimePoint>,
-    /// Hosts that come back later along with their fabric domain.
+    /// Hosts that return at a later time after an outage of their fabric domain.
     scheduled_returns: Vec<(TimePoint, HostName, WeightState)>,
     rates: FleetRates,
     account: FleetAccount,
@@ -50,7 +50,7 @@
 }
 
 impl ReplayFleet {
-    /// An empty fleet with the rules of `header`.
+    /// Creates a fleet without hosts, with the rules of `header`.
     pub fn new(header: &TraceHeader) -> Self {
         let load = header.load_ms as f64 / 1000.0;
         let mut fleet = Self {
@@ -77,7 +77,7 @@
         fleet
     }
 
-    /// The fleet as a planner sees it.
+    /// The view that planners decide on.
     pub fn view(&self) -> &FleetView {
         &self.view
     }
@@ -92,35 +92,36 @@
         &self.account
     }
 
-    /// Weighted cost so far.
+    /// Weighted cost so far, under the rules in force.
     pub fn weighted(&self) -> f64 {
         self.account.weighted(&self.book).0
     }
 
-    /// Time reached.
+    /// Current time of the replay.
     pub fn now(&self) -> TimePoint {
         self.now
     }
 
-    /// The naive registry with what it found wrong.
+    /// The reference model of the registry, with the violations that it found.
     pub fn reference(&self) -> &ReferenceRegistry {
         &self.reference
     }
 
-    /// Commands that took effect: groups formed, replaced, dissolved; and commands refused.
+    /// Number of groups formed, replaced and dissolved, and of actions refused, in this order.
     pub fn changes(&self) -> (u64, u64, u64, u64) {
         (self.formed, self.replaced, self.dissolved, self.refused)
     }
 
-    /// Groups of `service` that serve now.
+    /// Number of groups of `service` that serve now.
     pub fn serving(&self, service: &ServiceName) -> usize {
         self.view.groups.values().filter(|g| g.service == *service && g.whole).count()
     }
 
-    /// When something happens next by itself: a load ends, a group opens, a host returns.
+    /// When the fleet changes next without an event: a load ends, a group becomes whole or a host
+    /// returns. `None` if no such change is due.
     pub fn next_change(&self) -> Option<TimePoint> {
         let load = self.engines.next_load_end().map(|left| {
-            // Rounded up, so that the load has ended when its time has come.
+            // Rounded up, so that the load has ended by the returned time.
             self.now.after(Duration::from_secs_f64(left) + Duration::from_micros(1))
         });
         let activations = self.activations.values().copied().min();
@@ -128,9 +129,9 @@
         [load, activations, scheduled_returns].into_iter().flatten().min()
     }
 
-    /// Lets time pass up to `when`, which is no later than the next change.
+    /// Advances the time to `when`, which must not be later than the next change.
     ///
-    /// Returns whether anything changed that a planner would want to see.
+    /// Returns whether anything changed, so that planning is due.
     pub fn advance(&mut self, when: TimePoint) -> bool {
         self.account_until(when);
         let ended = self.engines.advance(when.since(self.now).as_secs_f64());
@@ -147,7 +148,7 @@
         changed
     }
 
-    /// Takes in an event that happens now; statements are not events of the fleet.
+    /// Applies an event at the current time; ignores expectations, which do not affect the fleet.
     pub fn apply(&mut self, event: &TraceEvent) {
         self.rates_outdated = true;
         match event {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Carries out what a planner asks for.
+    /// Executes an action of a planner.
     pub fn act(&mut self, action: &PlanAction) {
         self.rates_outdated = true;
         if let PlanAction::Prepare { host, rank, size, .. } = action {
@@ -296,7 +297,7 @@
         let hosts = self.hosts_of(domain);
         let count = hosts.len().max(1) as u64;
         for (index, host) in hosts.into_iter().enumerate() {
-            // An odd multiplier spreads neighbours, so that groups do not come back in order.
+            // The odd multiplier spreads adjacent hosts, so that groups do not return one by one.
             let slot = (index as u64 * 7919) % count;
             let when = self.now.after(Duration::from_millis(1 + spread_ms * slot / count));
             self.scheduled_returns.push((when, host, weights));
@@ -327,7 +328,7 @@
         self.activations.len() != before
     }
 
-    /// Lets the group of `host` know that the host changed.
+    /// Updates the group of `host` after a change of the host; starts its load if it is present.
     fn host_changed(&mut self, host: &HostName) {
         let Some(id) = self.view.hosts.get(host).and_then(|host| host.group) else { return };
         let Some(group) = self.view.groups.get(&id) else { return };
@@ -339,7 +340,8 @@
         self.update_group(id);
     }
 
-    /// Works out whether a group is about to serve or has ceased to.
+    /// Updates a group after a change of its hosts: it becomes whole `LEASE_SETUP_TIME` after all
+    /// of them are ready, and stops being whole at once if one is not.
     fn update_group(&mut self, id: GroupId) {
         let Some(group) = self.view.groups.get(&id) else { return };
         let size = group.members.len();
@@ -403,12 +405,14 @@
         let current = self.state.rules.current();
         match RuleBook::build(current.revision, &current.text) {
             Ok(book) => self.book = book,
-            Err(error) => log::error!("rules of the trace: {error}; outcome {outcome:?}"),
+            Err(error) => log::error!(
+                "rules of the trace refused, earlier rules stay: {error}; outcome {outcome:?}"
+            ),
         }
     }
 }
 
-/// A time point from milliseconds.
+/// Converts milliseconds since the start of a trace to a time point.
 pub(super) fn from_ms(at_ms: u64) -> TimePoint {
     TimePoint::default().after(Duration::from_millis(at_ms))
 }
--- a/crates/placement/src/replay/generate/mod.rs
+++ b/crates/placement/src/replay/generate/mod.rs
@@ -1,7 +1,7 @@
-//! Traces from a seed: the same seed gives the same trace.
+//! Generated traces; the same seed gives the same trace.
 //!
-//! Half of the restarts are agents that come back within seconds with their weights, half are
-//! hosts that take minutes and lose them; the shares are the generator's, not the planner's.
+//! Half of the restarts are agent restarts that take seconds and keep the weights, half are host
+//! restarts that take minutes and lose them. The planner does not know these shares.
 
 mod shape;
 mod small;
@@ -21,13 +21,13 @@
 const HOUR_MS: f64 = 60.0 * MINUTE_MS;
 const DAY_MS: f64 = 24.0 * HOUR_MS;
 
-/// Every host has announced itself by then, and measuring begins.
+/// Time at which all hosts have announced themselves and measuring begins, in milliseconds.
 const WARM_UP_MS: u64 = 600_000;
 
-/// Share of single losses that another loss in the same fabric domain follows within minutes.
+/// Share of single losses that are followed by another in the same fabric domain within minutes.
 const SECOND_LOSS_SHARE: f64 = 0.1;
 
-/// Makes a trace of `shape` from `seed`.
+/// Generates a trace of `shape` from `seed`.
 pub fn generate_trace(shape: TraceShape, seed: u64) -> HostTrace {
     let fleet = FleetShape::of(shape);
     let mut builder = TraceBuilder::new(&fleet, seed);
@@ -46,18 +46,20 @@
         end_ms,
         measure_from_ms: WARM_UP_MS,
         load_ms: fleet.load_ms,
-        // Loads before measuring begins are free.
+        // Loads are not limited until measuring begins.
         parallel_loads: 0,
         rules: fleet.rules(0),
     };
     HostTrace { header, lines }
 }
 
+/// State of the generation of a trace.
 struct TraceBuilder<'a> {
     fleet: &'a FleetShape,
     random: ChaCha8Rng,
+    /// Hosts with the number of their fabric domain.
     hosts: Vec<(u32, HostName)>,
-    /// Until when each host is taken up with an earlier event, in milliseconds.
+    /// Time until which an earlier event affects each host, in milliseconds; by index in `hosts`.
     busy_until_ms: Vec<f64>,
     lines: Vec<TraceLine>,
 }
@@ -91,15 +93,17 @@
         self.push_event(end, TraceEvent::Rules { rules: self.fleet.rules(parallel_loads) });
     }
 
+    /// A random time after the warm-up, in milliseconds.
     fn random_time(&mut self) -> f64 {
         WARM_UP_MS as f64 + self.random.random_range(0.0..self.fleet.days * DAY_MS)
     }
 
-    /// A time between `low` and `high` with every order of magnitude equally likely.
+    /// A time between `low` and `high`, drawn from the log-uniform distribution.
     fn log_uniform(&mut self, low: f64, high: f64) -> f64 {
         self.random.random_range(low.ln()..high.ln()).exp()
     }
 
+    /// Number of events over the trace, at `rate` events per host and day.
     fn event_count(&self, rate: f64) -> usize {
         (rate * self.fleet.days * self.hosts.len() as f64).round() as usize
     }
@@ -120,6 +124,7 @@
         }
     }
 
+    /// Another host of the same fabric domain, near in the list; the host itself if there is none.
     fn neighbour(&mut self, index: usize) -> usize {
         let domain = self.hosts[index].0;
         let near: Vec<usize> = (index.saturating_sub(20)..self.hosts.len().min(index + 20))
@@ -168,7 +173,7 @@
         let losses = self.fleet.switches + self.fleet.power_cuts;
         for number in 0..losses {
             let at = self.random_time();
-            // The first domains are left to migrations.
+            // The first domains are reserved for migrations.
             let domain = self.random.random_range(self.fleet.migrations..domains);
             let switch = number < self.fleet.switches;
             let (away, weights) = if switch {
@@ -199,8 +204,10 @@
         }
     }
 
-    /// Moves the first domains to another provider: its hosts arrive over an hour, the old ones
-    /// are marked as leaving, and they go one by one over the hour after that.
+    /// Moves the first domains to another provider.
+    ///
+    /// The new hosts arrive over an hour, then the old ones announce to leave. They disappear one
+    /// by one between 30 and 90 minutes later.
     fn migrations(&mut self) {
         for domain in 0..self.fleet.migrations {
             let at = WARM_UP_MS as f64
@@ -214,7 +221,7 @@
                 let lost_at = at + self.random.random_range(1.5 * HOUR_MS..2.5 * HOUR_MS);
                 self.push_event(at + HOUR_MS, TraceEvent::Leaving { host: host.clone() });
                 self.push_event(lost_at, TraceEvent::Lost { host });
-                // Whatever else was to befall the host after that does not happen.
+                // Later events of the host are removed.
                 let name = &self.hosts[index].1;
                 self.lines.retain(|line| {
                     (line.at_ms as f64) <= lost_at || !affects_host(&line.event, name)
--- a/crates/placement/src/replay/generate/shape.rs
+++ b/crates/placement/src/replay/generate/shape.rs
@@ -1,4 +1,4 @@
-//! Fleets that traces are generated for: services, fabric domains, spare hosts, event rates.
+//! Shapes of generated traces: services, fabric domains, spare hosts and event rates of a fleet.
 
 use briartray_model::names::{DomainName, HostName, ProviderName, RuleName, ServiceName, ZoneName};
 use briartray_model::plain_choice;
@@ -10,17 +10,17 @@
 use super::super::trace::TraceEvent;
 
 plain_choice! {
-    /// Fleets and mixtures of events to choose from.
+    /// Fleet and events of a generated trace.
     pub enum TraceShape {
-        /// Parkland's fleet of today over thirty days.
+        /// The current fleet of the customer Parkland over 30 days.
         Parkland,
-        /// Hollis & Pratt's fleet of today over thirty days.
+        /// The current fleet of the customer Hollis & Pratt over 30 days.
         Hollis,
-        /// 2,800 replicas on 22,000 accelerators, an ordinary day and a lost switch.
+        /// 2,800 replicas on 22,000 accelerators; an ordinary day and the loss of a switch.
         Design,
-        /// Replicas of 8 to 32 hosts on 22,000 accelerators, an ordinary day and a lost switch.
+        /// Replicas of 8 to 32 hosts on 22,000 accelerators; otherwise as `Design`.
         Large,
-        /// The fleet of 2,800 replicas through a day with everything that goes wrong in a year.
+        /// The fleet of 2,800 replicas; a day with all kinds of failures that occur within a year.
         Mixed,
     }
 }
@@ -48,31 +48,32 @@
     pub(super) hosts: u32,
     pub(super) replicas: u32,
     pub(super) accelerators: u32,
-    /// Spare hosts in each fabric domain that has any.
+    /// Spare hosts per fabric domain that has spares.
     pub(super) spares: u32,
-    /// Spares are in one of so many domains.
+    /// One in this many fabric domains has spares.
     pub(super) spare_every: u32,
 }
 
-/// A fleet and what befalls it.
+/// A fleet and the rates of its events.
 #[derive(Debug, Clone)]
 pub(super) struct FleetShape {
     pub(super) zones: u32,
     pub(super) domains_per_zone: u32,
     pub(super) services: Vec<ServiceShape>,
     pub(super) days: f64,
-    /// Hosts that restart per host and day.
+    /// Restarts per host and day.
     pub(super) restart_rate: f64,
-    /// Hosts that fail for good per host and day.
+    /// Failures per host and day, with an absence of several hours.
     pub(super) failure_rate: f64,
-    /// Planned stops of single hosts per host and day.
+    /// Planned stops per host and day.
     pub(super) stop_rate: f64,
-    /// Fabric domains that lose their switch, and that lose power, during the trace.
+    /// Losses of a switch during the trace; the hosts of the fabric domain keep their weights.
     pub(super) switches: u32,
+    /// Losses of power in a fabric domain during the trace; its hosts lose their weights.
     pub(super) power_cuts: u32,
-    /// Availability zones that are cut off during the trace.
+    /// Outages of availability zones during the trace.
     pub(super) zone_losses: u32,
-    /// Fabric domains whose hosts move to another provider.
+    /// Number of fabric domains whose hosts move to another provider.
     pub(super) migrations: u32,
     pub(super) load_ms: u64,
     pub(super) parallel_loads: u32,
@@ -80,16 +81,16 @@
     pub(super) stranded_weight: f64,
 }
 
-/// Hosts that restart per host and day: 370 among 11,000 hosts of two accelerators.
+/// Restarts per host and day: 370 a day among 11,000 hosts of two accelerators.
 const RESTART_RATE: f64 = 370.0 / 11_000.0;
 
-/// Hosts that fail per host and day.
+/// Failures per host and day: 21 a day among 11,000 hosts.
 const FAILURE_RATE: f64 = 21.0 / 11_000.0;
 
-/// Weights of a firm that loses a sale with every minute down.
+/// Downtime and stranded weight of a customer that loses sales with every minute of downtime.
 pub(super) const DOWNTIME_FIRST_WEIGHTS: (f64, f64) = (1000.0, 1.0);
 
-/// Weights of a firm that pays for every idle accelerator.
+/// Downtime and stranded weight of a customer that pays for every idle accelerator.
 pub(super) const STRANDED_FIRST_WEIGHTS: (f64, f64) = (10.0, 1.0);
 
 impl FleetShape {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The rules of the fleet, with the weight store as limited.
+    /// Rules for the fleet, with `parallel_loads` as limit of the weight store.
     pub(super) fn rules(&self, parallel_loads: u32) -> RuleDocument {
         let place = PlaceAction {
             downtime_weight: self.downtime_weight,
@@ -127,7 +128,7 @@
         RuleDocument { services, teams: Vec::new(), rules }
     }
 
-    /// Every host of the fleet, as it announces itself, with its domain's number.
+    /// Arrival events of all hosts at the start, each with the number of the fabric domain.
     pub(super) fn hosts(&self) -> Vec<(u32, TraceEvent)> {
         let domains = self.zones * self.domains_per_zone;
         let mut hosts = Vec::new();
@@ -144,7 +145,7 @@
         hosts
     }
 
-    /// One host of a service.
+    /// Arrival event of one host.
     pub(super) fn host(
         &self,
         service: &ServiceShape,
@@ -221,7 +222,7 @@
     }
 }
 
-/// Hosts of two accelerators: 10,800 in 2,800 replicas, and one spare host in each domain.
+/// Hosts with two accelerators: 10,800 in 2,800 replicas, and one spare in each fabric domain.
 fn design_fleet() -> FleetShape {
     let chat =
         ServiceShape { name: "chat", hosts: 4, replicas: 2600, accelerators: 2, ..ENGINE_SERVICE };
@@ -246,7 +247,7 @@
     }
 }
 
-/// Hosts of one accelerator: 21,600 in 1,200 replicas of 8, 16 and 32 hosts.
+/// Hosts with one accelerator: 21,600 in 1,200 replicas of 8, 16 and 32 hosts.
 fn large_fleet() -> FleetShape {
     let service = |name, hosts, replicas| ServiceShape {
         name,
--- a/crates/placement/src/replay/generate/small.rs
+++ b/crates/placement/src/replay/generate/small.rs
@@ -1,4 +1,4 @@
-//! Small random traces: few enough hosts and events to try every plan.
+//! Small random traces, with few enough hosts and events for an exhaustive search.
 
 use briartray_model::names::{DomainName, HostName, ProviderName, RuleName, ServiceName, ZoneName};
 use briartray_model::rules::{
@@ -14,7 +14,7 @@
 const LAST_EVENT_MS: u64 = 900_000;
 const END_MS: u64 = 1_800_000;
 
-/// Makes a trace of four to `hosts` hosts in pairs and `events` losses or planned stops.
+/// Generates a trace with four to `hosts` hosts, two per replica, and at most `events` losses.
 pub fn generate_small(seed: u64, hosts: usize, events: usize) -> HostTrace {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let hosts = random.random_range(4..=hosts.max(4));
--- a/crates/placement/src/replay/mod.rs
+++ b/crates/placement/src/replay/mod.rs
@@ -1,4 +1,4 @@
-//! Replaying recorded host events through the planner and the real registry.
+//! Replay of recorded or generated host events through the planner and the group registry.
 
 mod engine;
 mod fleet;
--- a/crates/placement/src/replay/registry.rs
+++ b/crates/placement/src/replay/registry.rs
@@ -1,10 +1,12 @@
-//! The registry's promises, checked against a naive table after every command.
+//! Invariants of the group registry, checked against a reference model after every command.
 
 use briartray_control::state::{CommandOutcome, ControlCommand, ControlState};
 use briartray_model::SortedTable;
 use briartray_model::names::{FencingNumber, GroupId, HostName};
 
-/// Who owns each host, kept in the plainest way.
+/// Reference model of the registry: the group and the last fencing number of each host.
+///
+/// A host belongs to at most one group, and its fencing numbers increase.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ReferenceRegistry {
     owners: SortedTable<HostName, GroupId>,
@@ -13,12 +15,12 @@
 }
 
 impl ReferenceRegistry {
-    /// What did not hold so far.
+    /// Descriptions of the violated invariants so far.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Compares what a command did with what it should have done.
+    /// Applies the effect of a command and records every invariant that it violates.
     pub fn check(
         &mut self,
         command: &ControlCommand,
@@ -47,13 +49,14 @@
         let before = self.owners.len();
         self.owners.retain(|_, owner| *owner != group);
         if self.owners.len() == before {
-            self.violations.push(format!("group {group} ended without having had hosts"));
+            self.violations
+                .push(format!("group {group} was dissolved or replaced, but owned no hosts"));
         }
     }
 
     fn add_group(&mut self, group: GroupId, state: &ControlState) {
         let Some(registered) = state.groups.group(group) else {
-            self.violations.push(format!("group {group} was formed and does not exist"));
+            self.violations.push(format!("group {group} was formed, but is not in the registry"));
             return;
         };
         let fencing = registered.assignment.fencing;
@@ -64,7 +67,10 @@
             }
             let before = self.fencing.insert(member.host.clone(), fencing).unwrap_or_default();
             if fencing <= before {
-                let text = format!("fencing of {} went from {before} to {fencing}", member.host);
+                let text = format!(
+                    "fencing number of host {} did not increase: {before}, then {fencing}",
+                    member.host
+                );
                 self.violations.push(text);
             }
         }
--- a/crates/placement/src/replay/run.rs
+++ b/crates/placement/src/replay/run.rs
@@ -1,4 +1,4 @@
-//! Stepping a trace through a planner, and comparing what happens with what is stated.
+//! Replay of a trace with a planner, and checks of the expectations that the trace states.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use crate::accounting::ServiceAccount;
 use crate::planner::{GroupPlanner, PlanAction, PlanReason, plan_first_come};
 
-/// Time from a change to the round of planning that sees it.
+/// Time from a change to the planning round that reacts to it.
 const PLANNING_DELAY: Duration = Duration::from_millis(200);
 
-/// Decisions that are made again in every round while a group stays as it is.
+/// Reasons of decisions that are repeated in every round while a group stays as it is.
 const REPEATED_REASONS: [PlanReason; 3] =
     [PlanReason::WaitForReturn, PlanReason::WaitNoSpare, PlanReason::RebuildElsewhere];
 
@@ -30,10 +30,10 @@
 }
 
 impl PlannerKind {
-    /// Every kind, the one to be compared with first.
+    /// All kinds, starting with the baseline of comparisons.
     pub const ALL: [Self; 3] = [Self::Naive, Self::Unprepared, Self::Cost];
 
-    /// The name used in reports.
+    /// Name in reports and options.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Naive => "naive",
@@ -47,66 +47,66 @@
     /// Which planner is replayed.
     #[derive(Default)]
     pub enum PlannerKind {
-        /// First come, first grouped.
+        /// `plan_first_come`, which compares no costs.
         Naive,
-        /// By expected cost, with hosts that load ahead.
+        /// `GroupPlanner`, which prepares free hosts.
         #[default]
         Cost,
-        /// By expected cost, with hosts that load only once they belong to a group.
+        /// `GroupPlanner` without preparation: hosts load weights once they belong to a group.
         Unprepared,
     }
 }
 
 plain_value! {
-    /// One stated outcome and what came of it.
+    /// An expectation stated in a trace, and the outcome.
     pub struct ExpectedOutcome {
-        /// When it was stated for, in milliseconds.
+        /// Time of the trace at which it was checked, in milliseconds.
         pub at_ms: u64,
-        /// What was stated.
+        /// The expectation.
         pub stated: TraceEvent,
-        /// What was measured.
+        /// Measured value, in the unit of the expectation.
         pub measured: f64,
-        /// Whether it held.
+        /// Whether the expectation was met.
         pub held: bool,
     }
 
-    /// What a replay measured.
+    /// Result of a replay.
     pub struct ReplayReport {
-        /// What the trace is about.
+        /// Title of the trace.
         pub trace: String,
         /// Which planner was replayed.
         pub planner: PlannerKind,
-        /// Sums over all services, in seconds.
+        /// Sums over all services, in group-seconds and accelerator-seconds.
         pub total: ServiceAccount,
-        /// Weighted total.
+        /// Weighted cost.
         pub weighted: f64,
-        /// The part of it that no plan could have avoided, for want of hosts.
+        /// Lower bound of the weighted cost, given the hosts that were present.
         pub weighted_bound: f64,
-        /// Groups formed.
+        /// Number of groups formed.
         pub formed: u64,
-        /// Groups replaced by a successor in one step.
+        /// Number of groups replaced by a successor in one command.
         pub replaced: u64,
-        /// Groups dissolved.
+        /// Number of groups dissolved.
         pub dissolved: u64,
-        /// Commands that the registry refused.
+        /// Number of actions that could not be executed or that the registry refused.
         pub refused: u64,
-        /// Rounds of planning.
+        /// Number of planning rounds.
         pub rounds: u64,
-        /// Time in the planner, in seconds; zero when no meter was given.
+        /// Time spent in the planner, in seconds; zero if the clock of the replay stands still.
         pub planning_seconds: f64,
-        /// Longest round, in seconds.
+        /// Time of the longest planning round, in seconds.
         pub longest_round_seconds: f64,
-        /// Decisions by reason; groups that wait are counted once for each wait.
+        /// Number of decisions by reason; a decision to wait counts once, not in every round.
         pub decisions: Vec<(PlanReason, u64)>,
-        /// Stated outcomes.
+        /// Expectations of the trace and their outcomes.
         pub outcomes: Vec<ExpectedOutcome>,
-        /// Promises of the registry that did not hold.
+        /// Violated invariants of the registry.
         pub violations: Vec<String>,
     }
 }
 
 impl ReplayReport {
-    /// Whether every stated outcome and every promise held.
+    /// Whether all expectations were met and no invariant was violated.
     pub fn holds(&self) -> bool {
         self.violations.is_empty() && self.outcomes.iter().all(|outcome| outcome.held)
     }
@@ -128,8 +128,10 @@
     outcomes: Vec<ExpectedOutcome>,
 }
 
-/// Replays `trace` through the planner and the registry; `clock` reads a clock for the time that
-/// planning takes and may always return zero.
+/// Replays `trace` with a planner of `kind` and the group registry.
+///
+/// `clock` is read before and after each planning round to measure the time that planning takes;
+/// it may always return zero.
 pub fn run_trace(
     trace: &HostTrace,
     kind: PlannerKind,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Takes in `lines` one after the other and goes on to `end`.
+    /// Processes `lines` in order and advances to `end`.
     pub(super) fn replay(&mut self, lines: &[TraceLine], end: TimePoint) {
         for line in lines {
             self.run_until(from_ms(line.at_ms));
@@ -175,12 +177,12 @@
         self.run_until(end);
     }
 
-    /// The fleet as it is now.
+    /// The fleet in its current state.
     pub(super) fn fleet(&self) -> &ReplayFleet {
         &self.fleet
     }
 
-    /// Lets loads end and planning rounds happen up to `end`.
+    /// Advances to `end`, with the changes and planning rounds due until then.
     fn run_until(&mut self, end: TimePoint) {
         loop {
             let replan_at = self.replan_at.map(|replan_at| replan_at.max(self.fleet.now()));
@@ -226,7 +228,7 @@
     fn plan_by_cost(&mut self) -> Vec<PlanAction> {
         let now = self.fleet.now();
         let round = self.planner.step(now, self.fleet.view(), self.fleet.book());
-        // No earlier than the next tick, as in the control role.
+        // Not before the planning delay has passed, as in the control role.
         self.replan_at = round.replan_at.map(|replan_at| replan_at.max(now.after(PLANNING_DELAY)));
         let mut waits = Vec::new();
         for decision in &round.decisions {
--- a/crates/placement/src/replay/search.rs
+++ b/crates/placement/src/replay/search.rs
@@ -1,8 +1,8 @@
-//! The cheapest plan for a small trace, found by trying every sequence of actions.
+//! Exhaustive search for the cheapest plan of a small trace.
 //!
-//! The search knows what will happen, so its cost is a bound that no planner can go below. It
-//! starts from the groups that the planner has formed when measuring begins, acts at events and
-//! whenever something changes, and takes a limited number of actions.
+//! The search knows all future events, which makes its cost a baseline for planners. It starts
+//! from the groups that the planner has formed when measuring begins, considers actions at every
+//! event and change of the fleet, and takes a limited number of actions.
 
 use briartray_model::TimePoint;
 
@@ -11,21 +11,21 @@
 use super::trace::{HostTrace, TraceLine};
 use crate::planner::{FleetView, GroupView, HostView, PlanAction};
 
-/// Replayed steps after which a search gives up.
+/// Number of replayed steps after which the search stops.
 const MAX_STEPS: u64 = 400_000;
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SearchResult {
-    /// Weighted cost of the best sequence found, at most the planner's.
+    /// Weighted cost of the best sequence found, at most that of the planner.
     pub best: f64,
-    /// Weighted cost of the planner.
+    /// Weighted cost of `PlannerKind::Cost`.
     pub planned: f64,
-    /// Weighted cost of the naive planner.
+    /// Weighted cost of `PlannerKind::Naive`.
     pub naive: f64,
-    /// Whether every sequence was tried.
+    /// Whether the search was complete.
     pub exhausted: bool,
-    /// Actions of the best sequence with their times; none when the planner's is the best.
+    /// Actions of the best sequence with their times; empty if none is better than the planner.
     pub actions: Vec<(TimePoint, PlanAction)>,
 }
 
@@ -38,7 +38,7 @@
     steps: u64,
 }
 
-/// Tries every sequence of at most `actions` actions.
+/// Searches all sequences of at most `actions` actions.
 pub fn search_best(trace: &HostTrace, actions: u32) -> SearchResult {
     let mut clock = || std::time::Duration::ZERO;
     let planned = super::run_trace(trace, PlannerKind::Cost, &mut clock).weighted;
@@ -61,7 +61,7 @@
 }
 
 impl PlanSearch<'_> {
-    /// Tries every action now, and none.
+    /// Explores every possible action at the current time, and taking no action.
     fn explore(&mut self, fleet: &ReplayFleet, next: usize, actions: u32) {
         if self.steps >= MAX_STEPS || fleet.weighted() >= self.best {
             return;
@@ -78,7 +78,7 @@
         self.advance_time(fleet.clone(), next, actions);
     }
 
-    /// Lets time pass to the next event or change.
+    /// Advances to the next event or change and explores from there.
     fn advance_time(&mut self, mut fleet: ReplayFleet, next: usize, actions: u32) {
         self.steps += 1;
         let event = self.lines.get(next).map_or(self.end, |line| from_ms(line.at_ms));
@@ -101,8 +101,8 @@
     }
 }
 
-/// Everything that could be of use: forming, replacing missing or leaving members, preparing,
-/// dissolving groups that do not serve.
+/// All actions that may reduce the cost: forming groups of two, replacing missing or leaving
+/// members, preparing their replacements, and dissolving groups that do not serve.
 fn possible_actions(view: &FleetView) -> Vec<PlanAction> {
     let free: Vec<&HostView> =
         view.hosts.values().filter(|host| host.present && host.group.is_none()).collect();
--- a/crates/placement/src/replay/trace.rs
+++ b/crates/placement/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Traces of host events as JSON lines: a header, then one event a line in order of time.
+//! Traces of host events as JSON lines: a header, then one event per line in order of time.
 
 use std::io::{BufRead, Write};
 
@@ -7,42 +7,44 @@
 use briartray_model::{plain_choice, plain_value};
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Why a trace cannot be used.
+/// Error when a trace is read or written.
 #[derive(Debug, Snafu)]
 pub enum TraceError {
-    /// The file cannot be read or written.
+    /// The input or output failed.
     #[snafu(display("{source}; check the path of the trace"))]
     File {
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// A line does not fit.
-    #[snafu(display("line {line}: {source}; see the guide for the form of traces"))]
+    /// A line is not valid JSON of the expected type.
+    #[snafu(display("line {line}: {source}; see the guide for the trace format"))]
     Line {
         /// Line, from one.
         line: usize,
-        /// What is wrong.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// Events are not in order of time.
-    #[snafu(display("line {line}: earlier than the line before; sort the events by at_ms"))]
+    /// An event is earlier than the one before.
+    #[snafu(display(
+        "line {line}: event is earlier than the one before; sort the events by at_ms"
+    ))]
     Order {
         /// Line, from one.
         line: usize,
     },
-    /// There is no header.
+    /// The trace has no header.
     #[snafu(display("the trace is empty; its first line is the header"))]
     Empty,
 }
 
 plain_choice! {
-    /// Whether a host that comes back still has its weights loaded.
+    /// Whether a returning host still has its weights loaded.
     #[derive(Default)]
     pub enum WeightState {
-        /// Only the connection or the agent was gone.
+        /// Its weights are loaded: only its agent or connection failed.
         #[default]
         Kept,
-        /// The engine restarted.
+        /// Its weights are lost: its engine restarted.
         Lost,
     }
 }
@@ -50,32 +52,32 @@
 plain_value! {
     /// First line of a trace.
     pub struct TraceHeader {
-        /// What the trace is about.
+        /// Title of the trace.
         pub trace: String,
         /// When the trace ends, in milliseconds.
         pub end_ms: u64,
-        /// Downtime and stranded accelerators count from here on, in milliseconds.
+        /// Time from which downtime and stranded accelerators count, in milliseconds.
         #[serde(default)]
         pub measure_from_ms: u64,
-        /// How long one host takes to load its weights when it loads alone, in milliseconds.
+        /// Time that a host takes to load its weights at full speed, in milliseconds.
         pub load_ms: u64,
-        /// Hosts that the weight store serves at full speed at one time; zero for no limit.
+        /// Number of hosts that the weight store serves at full speed; zero for no limit.
         #[serde(default)]
         pub parallel_loads: u32,
         /// Rules in force at the start.
         pub rules: RuleDocument,
     }
 
-    /// One line after the header.
+    /// A line after the header.
     pub struct TraceLine {
-        /// When it happens, in milliseconds.
+        /// Time of the event since the start of the trace, in milliseconds.
         pub at_ms: u64,
-        /// What happens.
+        /// The event.
         #[serde(flatten)]
         pub event: TraceEvent,
     }
 
-    /// What may happen, and what is stated to hold.
+    /// Events of a fleet, and expectations that a replay checks.
     #[serde(tag = "event", rename_all = "snake_case")]
     pub enum TraceEvent {
         /// A host announces itself.
@@ -90,82 +92,82 @@
             provider: ProviderName,
             /// Service it is meant for.
             service: ServiceName,
-            /// Accelerators on it.
+            /// Number of its accelerators.
             accelerators: u32,
         },
-        /// A host vanishes.
+        /// A host disappears.
         Lost {
             /// The host.
             host: HostName,
         },
-        /// A host that vanished is there again.
+        /// A host that disappeared returns.
         Back {
             /// The host.
             host: HostName,
-            /// Whether it kept its weights.
+            /// Whether its weights are still loaded.
             #[serde(default)]
             weights: WeightState,
         },
-        /// A host announces that it is on its way out.
+        /// A host announces that it is going to leave.
         Leaving {
             /// The host.
             host: HostName,
         },
-        /// All hosts of a fabric domain vanish.
+        /// Outage of a fabric domain: all of its hosts disappear.
         DomainDark {
             /// The fabric domain.
             domain: DomainName,
         },
-        /// The hosts that vanished with a fabric domain come back.
+        /// End of an outage: the absent hosts of the fabric domain return.
         DomainBack {
             /// The fabric domain.
             domain: DomainName,
-            /// Whether they kept their weights.
+            /// Whether their weights are still loaded.
             #[serde(default)]
             weights: WeightState,
-            /// Time over which they come back, evenly, in milliseconds.
+            /// Time over which their returns are evenly spread, in milliseconds.
             #[serde(default)]
             spread_ms: u64,
         },
-        /// The weight store serves another number of hosts at full speed.
+        /// The capacity of the weight store changes.
         WeightStore {
-            /// Hosts at one time; zero for no limit.
+            /// Number of hosts that it serves at full speed; zero for no limit.
             parallel_loads: u32,
         },
         /// The rules change.
         Rules {
-            /// The whole new document.
+            /// The complete new document.
             rules: RuleDocument,
         },
-        /// States how many groups of a service serve now.
+        /// Expects a number of serving groups of a service at this time.
         ExpectGroups {
             /// The service.
             service: ServiceName,
-            /// At least so many.
+            /// Minimum number of groups.
             #[serde(default)]
             at_least: usize,
-            /// At most so many.
+            /// Maximum number of groups; no maximum if absent.
             #[serde(default, skip_serializing_if = "Option::is_none")]
             at_most: Option<usize>,
         },
-        /// States the downtime of all groups so far.
+        /// Expects a limit of the downtime of all groups so far.
         ExpectDowntime {
-            /// At most so many group-seconds.
+            /// Maximum in group-seconds.
             at_most_s: f64,
         },
-        /// States the stranded accelerators so far.
+        /// Expects a limit of the stranded accelerators so far.
         ExpectStranded {
-            /// At most so many accelerator-seconds.
+            /// Maximum in accelerator-seconds.
             at_most_s: f64,
         },
-        /// States how often groups were formed or replaced so far.
+        /// Expects a limit of how often groups were formed or replaced so far.
         ExpectChanges {
-            /// At most so often.
+            /// Maximum number of changes.
             at_most: u64,
         },
     }
 
-    /// A whole trace.
+    /// A complete trace.
     pub struct HostTrace {
         /// Its first line.
         pub header: TraceHeader,
@@ -175,10 +177,11 @@
 }
 
 impl HostTrace {
-    /// Reads a trace.
+    /// Reads a trace from JSON lines; empty lines are skipped.
     ///
     /// # Errors
-    /// A `TraceError` that names the line.
+    /// Returns a `TraceError` if the input cannot be read, has no header, or has a line that is
+    /// malformed or out of order.
     pub fn read(input: impl BufRead) -> Result<Self, TraceError> {
         let mut header = None;
         let mut lines: Vec<TraceLine> = Vec::new();
@@ -201,10 +204,11 @@
         Ok(Self { header, lines })
     }
 
-    /// Writes the trace.
+    /// Writes the trace as JSON lines.
     ///
     /// # Errors
-    /// `TraceError::File` when the output cannot be written.
+    /// Returns `TraceError::File` if the output cannot be written, and `TraceError::Line` if a line
+    /// cannot be serialized.
     pub fn write(&self, mut output: impl Write) -> Result<(), TraceError> {
         let header = serde_json::to_string(&self.header).context(LineSnafu { line: 1_usize })?;
         writeln!(output, "{header}").context(FileSnafu)?;
@@ -215,7 +219,9 @@
         output.flush().context(FileSnafu)
     }
 
-    /// Replaces the weights in every place rule; a document without one gets a rule for all.
+    /// Sets the cost weights of all place rules, in the header and in later rule documents.
+    ///
+    /// A document without place rules gets one that applies to all hosts. `None` keeps a weight.
     pub fn set_weights(&mut self, downtime: Option<f64>, stranded: Option<f64>) {
         let events = self.lines.iter_mut().filter_map(|line| match &mut line.event {
             TraceEvent::Rules { rules } => Some(rules),
--- a/crates/placement/tests/planner.rs
+++ b/crates/placement/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the planner, on fleets built by hand.
+//! Decisions of the planner on small hand-built fleets.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -18,7 +18,7 @@
         "services: [{{ name: desk, hosts_per_replica: 2, replicas: {replicas} }}]\n\
          rules: [{{ rule: place, then: {{ place: {{ {place} }} }} }}]"
     );
-    RuleBook::build(RevisionNumber(1), &text).expect("the rules are sound")
+    RuleBook::build(RevisionNumber(1), &text).expect("the rules are valid")
 }
 
 fn host_view(name: &str, domain: &str, group: Option<u64>) -> HostView {
@@ -38,7 +38,8 @@
     HostView { announcement, present: true, since, group: group.map(GroupId) }
 }
 
-/// Two whole groups of two hosts each, `a1 a2` and `b1 b2`, and the free hosts named.
+/// Two whole groups of two hosts each, `a1 a2` and `b1 b2`, and the hosts in `free`, each given
+/// with its fabric domain.
 fn fleet(free: &[(&str, &str)]) -> FleetView {
     let mut view = FleetView::default();
     for (name, domain) in free {
@@ -65,7 +66,7 @@
     TimePoint::default().after(Duration::from_secs(seconds))
 }
 
-/// Makes the host vanish and its group fail.
+/// Marks the host as absent and its group as not whole.
 fn lose(view: &mut FleetView, name: &str, now: TimePoint) {
     let host = view.hosts.get_mut(&HostName::new(name)).expect("the host is known");
     host.present = false;
@@ -75,7 +76,7 @@
     }
 }
 
-/// A planner that has watched the whole fleet for a while.
+/// A planner that has seen the complete fleet for longer than its settle time.
 fn settled_planner(view: &FleetView, book: &RuleBook) -> GroupPlanner {
     let mut planner = GroupPlanner::default();
     for seconds in [1, 20, 40] {
@@ -90,8 +91,8 @@
 
 #[test]
 fn new_leader_dissolves_no_group() {
-    // A new leader knows the groups from the log and no agent yet. Read as losses, the missing
-    // agents would have every healthy group taken apart within a second of the change.
+    // A new leader knows the groups from the log, but no agent has connected to it yet. If missing
+    // agents counted as lost, it would dissolve every healthy group within a second.
     let book = book(2, "load_ms: 1000, wait_ms: 0");
     let mut view = fleet(&[("s1", "rack-1")]);
     lose(&mut view, "a2", at(0));
@@ -105,8 +106,8 @@
 
 #[test]
 fn serving_group_is_not_replaced() {
-    // Control loses sight of a member that its group still reaches. Replacing it would cut off
-    // requests in a group that serves them well.
+    // The connection between control and a member fails, while its group still reaches it.
+    // Replacing the member would abort requests of a group that serves.
     let book = book(2, "load_ms: 1000, wait_ms: 1");
     let mut view = fleet(&[("s1", "rack-1")]);
     let mut planner = settled_planner(&view, &book);
@@ -119,8 +120,8 @@
 
 #[test]
 fn short_absence_is_waited_out_and_long_one_is_not() {
-    // Most agents are back within seconds; those that are not have to be replaced in the end, or
-    // the group would stay down beside an idle spare.
+    // Most agents return within seconds. One that does not has to be replaced eventually, or the
+    // group would stay down although a spare is idle.
     let book = book(2, "load_ms: 120000");
     let mut view = fleet(&[("s1", "rack-1")]);
     let mut planner = settled_planner(&view, &book);
@@ -139,8 +140,8 @@
 
 #[test]
 fn changed_address_gets_new_assignment_for_same_members() {
-    // An agent restarts on another port. Its group still names the old one and could never be
-    // whole again, although every host is there.
+    // An agent restarts on another port. The assignment of its group names the old one, so the
+    // group could never become whole again, although all hosts are present.
     let book = book(2, "load_ms: 1000");
     let mut view = fleet(&[]);
     let mut planner = settled_planner(&view, &book);
@@ -157,8 +158,8 @@
 
 #[test]
 fn reserved_spares_repair_but_add_no_group() {
-    // The rules keep one host free for repairs. Used up for a third replica, it would be missing
-    // at the next failure.
+    // The rules reserve one host for repairs. If a third replica used it, it would be missing at
+    // the next failure.
     let book = book(3, "spares: 1, load_ms: 1000, wait_ms: 0");
     let mut view = fleet(&[("s1", "rack-1"), ("s2", "rack-1")]);
     let mut planner = settled_planner(&view, &book);
@@ -173,8 +174,8 @@
 
 #[test]
 fn zone_place_rule_applies_to_its_groups() {
-    // Operators let one availability zone wait longer than the others. A planner that asked for
-    // the service alone would pass such a rule over without a word.
+    // Operators set a longer wait for one availability zone than for the others. A planner that
+    // looked up rules by service alone would silently ignore such a rule.
     let text = "
 services: [{ name: desk, hosts_per_replica: 2, replicas: 2 }]
 rules:
@@ -182,7 +183,7 @@
   - { rule: hasty, then: { place: { wait_ms: 0 } } }";
     for (zone, waits) in [("a", true), ("b", false)] {
         let text = text.replace("ZONE", zone);
-        let book = RuleBook::build(RevisionNumber(1), &text).expect("the rules are sound");
+        let book = RuleBook::build(RevisionNumber(1), &text).expect("the rules are valid");
         let mut view = fleet(&[("s1", "rack-1")]);
         let mut planner = settled_planner(&view, &book);
         lose(&mut view, "a2", at(100));
@@ -195,8 +196,8 @@
 
 #[test]
 fn domains_are_crossed_only_where_rules_allow() {
-    // The last free host stands in another fabric domain. A group across domains is slow, so the
-    // rules must have asked for it, and the missing host must have had its time to return.
+    // The only free host is in another fabric domain. A group across domains is slow, so it must
+    // be formed only if the rules allow it and the missing host has had time to return.
     let place = "load_ms: 1000, wait_ms: 0";
     for (extra, crossing) in [("", false), (", cross_domain: true", true)] {
         let book = book(2, &format!("{place}{extra}"));
@@ -227,6 +228,6 @@
     assert_eq!(of(StrandedReason::MissingMember), 8.0);
     assert_eq!(of(StrandedReason::Loading), 16.0);
     assert_eq!(of(StrandedReason::OddHost), 8.0);
-    // Four hosts are there, enough for two groups of the three.
+    // Four hosts are present, enough for two of the three groups.
     assert_eq!((account.bound_down, account.bound_stranded), (1.0, 0.0));
 }
--- a/crates/placement/tests/random_events.rs
+++ b/crates/placement/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Random events through planner and registry: what must hold in every round.
+//! Invariants of planner and registry under random events, and costs on generated traces.
 
 use std::time::Duration;
 
@@ -84,7 +84,7 @@
     if seed.is_multiple_of(4) { GroupPlanner::default() } else { GroupPlanner::with_loads_ahead() }
 }
 
-/// Groups of the wrong size or of hosts of two providers.
+/// Groups of the wrong size or with hosts of more than one provider.
 fn malformed(view: &FleetView) -> Vec<String> {
     let provider = |name: &HostName| view.hosts.get(name).map(|host| &host.announcement.provider);
     let bad = view.groups.values().filter(|group| {
@@ -95,7 +95,7 @@
     bad.map(|group| format!("{group:?}")).collect()
 }
 
-/// Runs the fleet to `end` with a round of planning every 200 ms; returns the actions taken.
+/// Runs `rounds` planning rounds, one every 200 ms; returns the actions executed.
 fn run_rounds(fleet: &mut ReplayFleet, planner: &mut GroupPlanner, rounds: u32) -> Vec<PlanAction> {
     let mut taken = Vec::new();
     for _ in 0..rounds {
@@ -115,9 +115,9 @@
 
 #[test]
 fn registry_invariants_hold_under_random_events() {
-    // Hosts, a fabric domain and the weight store fail and return in any order and at the same
-    // time. A planner that lost track would put a host into two groups, mix providers, or have
-    // most of its commands refused.
+    // Hosts, a fabric domain and the weight store fail and recover in any order, also at once. A
+    // planner with an inconsistent state would put a host into two groups, mix providers in a
+    // group, or request commands that the registry refuses.
     for seed in 0..24 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut fleet = ReplayFleet::new(&header(seed));
@@ -140,8 +140,8 @@
 
 #[test]
 fn planner_takes_no_action_once_fleet_is_stable() {
-    // After any history the fleet calms down. A planner that keeps moving hosts to and fro would
-    // cut off requests for nothing, for as long as nobody looks.
+    // Once no more events happen, the planner has to stop acting. One that keeps moving hosts
+    // between groups would abort requests without any benefit.
     for seed in 0..24 {
         let mut random = ChaCha8Rng::seed_from_u64(100 + seed);
         let mut fleet = ReplayFleet::new(&header(seed));
@@ -171,15 +171,15 @@
         assert!(cost.holds(), "{:?}", cost.violations);
         assert!(cost.weighted >= cost.weighted_bound);
         assert!(cost.weighted < naive.weighted, "{} {}", cost.weighted, naive.weighted);
-        // Commands follow events; a storm of plans would show as many times their number.
+        // Commands are caused by events; an unstable planner would issue many more than there are.
         assert!(cost.formed + cost.replaced < trace.lines.len() as u64);
     }
 }
 
 #[test]
 fn planner_cost_stays_near_best_plan() {
-    // The search knows the future, so the planner cannot match it; it must not fall far behind,
-    // and the search, which starts from the planner's cost, must not end above it.
+    // The search knows all future events, so the planner cannot match it, but must stay within
+    // 1.5 times its cost. The search starts from the planner's cost and must not end above it.
     let (mut best, mut planned) = (0.0, 0.0);
     for seed in 1..6 {
         let result = search_best(&generate_small(seed, 6, 3), 2);
