--- a/crates/placement/src/replay/fleet.rs
+++ b/crates/placement/src/replay/fleet.rs
@@ -365,11 +365,11 @@
         self.view.groups.remove(&old.group);
         self.activations.remove(&old.group);
         for name in &old.members {
-            let seat = self.state.groups.seat(name).group;
+            let current_group = self.state.groups.seat(name).group;
             if let Some(host) = self.view.hosts.get_mut(name) {
-                host.group = seat;
+                host.group = current_group;
             }
-            if seat.is_none() {
+            if current_group.is_none() {
                 self.engines.cancel_load(name);
             }
         }
--- a/crates/placement/src/replay/generate/mod.rs
+++ b/crates/placement/src/replay/generate/mod.rs
@@ -137,17 +137,17 @@
         if at < self.busy_until_ms[index] {
             return;
         }
-        let (away, weights) = if permanent {
+        let (absence_ms, weights) = if permanent {
             (self.random.random_range(4.0 * HOUR_MS..24.0 * HOUR_MS), WeightState::Lost)
         } else if self.random.random_bool(0.5) {
             (self.log_uniform(3.0 * SECOND_MS, 30.0 * SECOND_MS), WeightState::Kept)
         } else {
             (self.log_uniform(90.0 * SECOND_MS, 8.0 * MINUTE_MS), WeightState::Lost)
         };
-        self.busy_until_ms[index] = at + away + MINUTE_MS;
+        self.busy_until_ms[index] = at + absence_ms + MINUTE_MS;
         let host = self.hosts[index].1.clone();
         self.push_event(at, TraceEvent::Lost { host: host.clone() });
-        self.push_event(at + away, TraceEvent::Back { host, weights });
+        self.push_event(at + absence_ms, TraceEvent::Back { host, weights });
     }
 
     fn planned_stops(&mut self) {
@@ -157,14 +157,14 @@
             if at < self.busy_until_ms[index] {
                 continue;
             }
-            let notice = self.random.random_range(5.0 * MINUTE_MS..15.0 * MINUTE_MS);
-            let away = self.random.random_range(20.0 * MINUTE_MS..HOUR_MS);
-            self.busy_until_ms[index] = at + notice + away + MINUTE_MS;
+            let notice_ms = self.random.random_range(5.0 * MINUTE_MS..15.0 * MINUTE_MS);
+            let absence_ms = self.random.random_range(20.0 * MINUTE_MS..HOUR_MS);
+            self.busy_until_ms[index] = at + notice_ms + absence_ms + MINUTE_MS;
             let host = self.hosts[index].1.clone();
             self.push_event(at, TraceEvent::Leaving { host: host.clone() });
-            self.push_event(at + notice, TraceEvent::Lost { host: host.clone() });
+            self.push_event(at + notice_ms, TraceEvent::Lost { host: host.clone() });
             let weights = WeightState::Lost;
-            self.push_event(at + notice + away, TraceEvent::Back { host, weights });
+            self.push_event(at + notice_ms + absence_ms, TraceEvent::Back { host, weights });
         }
     }
 
@@ -176,30 +176,30 @@
             // The first domains are reserved for migrations.
             let domain = self.random.random_range(self.fleet.migrations..domains);
             let switch = number < self.fleet.switches;
-            let (away, weights) = if switch {
+            let (absence_ms, weights) = if switch {
                 (self.random.random_range(30.0 * SECOND_MS..3.0 * MINUTE_MS), WeightState::Kept)
             } else {
                 (self.random.random_range(10.0 * MINUTE_MS..30.0 * MINUTE_MS), WeightState::Lost)
             };
-            self.lose_domain(at, domain, away, weights);
+            self.lose_domain(at, domain, absence_ms, weights);
         }
     }
 
-    fn lose_domain(&mut self, at: f64, domain: u32, away: f64, weights: WeightState) {
+    fn lose_domain(&mut self, at: f64, domain: u32, absence_ms: f64, weights: WeightState) {
         let domain = DomainName::new(&format!("old-{domain:03}"));
         self.push_event(at, TraceEvent::DomainDark { domain: domain.clone() });
         let spread_ms = 20_000;
-        self.push_event(at + away, TraceEvent::DomainBack { domain, weights, spread_ms });
+        self.push_event(at + absence_ms, TraceEvent::DomainBack { domain, weights, spread_ms });
     }
 
     fn zone_losses(&mut self) {
         for _ in 0..self.fleet.zone_losses {
             let at = self.random_time();
             let zone = self.random.random_range(0..self.fleet.zones);
-            let away = self.random.random_range(5.0 * MINUTE_MS..15.0 * MINUTE_MS);
+            let absence_ms = self.random.random_range(5.0 * MINUTE_MS..15.0 * MINUTE_MS);
             for index in 0..self.fleet.domains_per_zone {
                 let domain = zone + index * self.fleet.zones;
-                self.lose_domain(at, domain, away, WeightState::Lost);
+                self.lose_domain(at, domain, absence_ms, WeightState::Lost);
             }
         }
     }
