--- a/crates/placement/src/replay/fleet.rs
+++ b/crates/placement/src/replay/fleet.rs
@@ -254,7 +254,7 @@
             incarnation: 1,
             leaving: false,
         };
-        let group = self.state.groups.seat(host).group;
+        let group = self.state.groups.binding(host).group;
         let view = HostView { announcement, present: true, since: self.now, group };
         self.engines.discard_weights(host);
         self.view.hosts.insert(host.clone(), view);
@@ -365,7 +365,7 @@
         self.view.groups.remove(&old.group);
         self.activations.remove(&old.group);
         for name in &old.members {
-            let current_group = self.state.groups.seat(name).group;
+            let current_group = self.state.groups.binding(name).group;
             if let Some(host) = self.view.hosts.get_mut(name) {
                 host.group = current_group;
             }
