--- a/crates/placement/src/replay/generate/small.rs
+++ b/crates/placement/src/replay/generate/small.rs
@@ -1,4 +1,4 @@
-//! Small random traces: few enough hosts and events to try every plan.
+//! Small random traces, with few enough hosts and events for an exhaustive search.
 
 use briartray_model::names::{DomainName, HostName, ProviderName, RuleName, ServiceName, ZoneName};
 use briartray_model::rules::{
@@ -14,17 +14,17 @@
 const LAST_EVENT_MS: u64 = 900_000;
 const END_MS: u64 = 1_800_000;
 
-/// Makes a trace of four to `hosts` hosts in pairs and `events` losses or planned stops.
+/// Generates a trace with four to `hosts` hosts, two per replica, and at most `events` losses.
 pub fn generate_small(seed: u64, hosts: usize, events: usize) -> HostTrace {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let hosts = random.random_range(4..=hosts.max(4));
     let mut lines: Vec<TraceLine> = (0..hosts).map(arrive).collect();
-    let mut busy = vec![0; hosts];
+    let mut busy_until_ms = vec![0; hosts];
     for _ in 0..events {
         let at_ms = random.random_range(MEASURE_FROM_MS + 1..LAST_EVENT_MS);
         let index = random.random_range(0..hosts);
         let kind = random.random_range(0..10);
-        if at_ms < busy[index] {
+        if at_ms < busy_until_ms[index] {
             continue;
         }
         let (away_ms, weights) = match kind {
@@ -32,8 +32,8 @@
             5..9 => (random.random_range(90_000..400_000), WeightState::Lost),
             _ => (END_MS, WeightState::Lost),
         };
-        busy[index] = at_ms + away_ms;
-        let host = name(index);
+        busy_until_ms[index] = at_ms + away_ms;
+        let host = host_name(index);
         lines.push(TraceLine { at_ms, event: TraceEvent::Lost { host: host.clone() } });
         let back = TraceLine { at_ms: at_ms + away_ms, event: TraceEvent::Back { host, weights } };
         lines.push(back);
@@ -52,13 +52,13 @@
     HostTrace { header, lines }
 }
 
-fn name(index: usize) -> HostName {
+fn host_name(index: usize) -> HostName {
     HostName::new(&format!("host-{index}"))
 }
 
 fn arrive(index: usize) -> TraceLine {
     let event = TraceEvent::Arrive {
-        host: name(index),
+        host: host_name(index),
         zone: ZoneName::new("a"),
         domain: DomainName::new("rack"),
         provider: ProviderName::new("one"),
--- a/crates/placement/src/replay/run.rs
+++ b/crates/placement/src/replay/run.rs
@@ -1,4 +1,4 @@
-//! Stepping a trace through a planner, and comparing what happens with what is stated.
+//! Replay of a trace with a planner, and checks of the expectations that the trace states.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::accounting::ServiceAccount;
 use crate::planner::{GroupPlanner, PlanAction, PlanReason, plan_first_come};
 
-/// Time from a change to the round of planning that sees it.
-const TICK: Duration = Duration::from_millis(200);
+/// Time from a change to the planning round that reacts to it.
+const PLANNING_DELAY: Duration = Duration::from_millis(200);
 
-/// Decisions that are made again in every round while a group stays as it is.
-const LASTING_REASONS: [PlanReason; 3] =
+/// Reasons of decisions that are repeated in every round while a group stays as it is.
+const REPEATED_REASONS: [PlanReason; 3] =
     [PlanReason::WaitForReturn, PlanReason::WaitNoSpare, PlanReason::RebuildElsewhere];
 
 impl std::str::FromStr for PlannerKind {
@@ -30,10 +30,10 @@
 }
 
 impl PlannerKind {
-    /// Every kind, the one to be compared with first.
+    /// All kinds, starting with the baseline of comparisons.
     pub const ALL: [Self; 3] = [Self::Naive, Self::Unprepared, Self::Cost];
 
-    /// The name used in reports.
+    /// Name in reports and options.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Naive => "naive",
@@ -47,66 +47,66 @@
     /// Which planner is replayed.
     #[derive(Default)]
     pub enum PlannerKind {
-        /// First come, first grouped.
+        /// `plan_first_come`, which compares no costs.
         Naive,
-        /// By expected cost, with hosts that load ahead.
+        /// `GroupPlanner`, which prepares free hosts.
         #[default]
         Cost,
-        /// By expected cost, with hosts that load only once they belong to a group.
+        /// `GroupPlanner` without preparation: hosts load weights once they belong to a group.
         Unprepared,
     }
 }
 
 plain_value! {
-    /// One stated outcome and what came of it.
-    pub struct StatedOutcome {
-        /// When it was stated for, in milliseconds.
+    /// An expectation stated in a trace, and the outcome.
+    pub struct ExpectedOutcome {
+        /// Time of the trace at which it was checked, in milliseconds.
         pub at_ms: u64,
-        /// What was stated.
+        /// The expectation.
         pub stated: TraceEvent,
-        /// What was measured.
+        /// Measured value, in the unit of the expectation.
         pub measured: f64,
-        /// Whether it held.
+        /// Whether the expectation was met.
         pub held: bool,
     }
 
-    /// What a replay measured.
+    /// Result of a replay.
     pub struct ReplayReport {
-        /// What the trace is about.
+        /// Title of the trace.
         pub trace: String,
         /// Which planner was replayed.
         pub planner: PlannerKind,
-        /// Sums over all services, in seconds.
+        /// Sums over all services, in group-seconds and accelerator-seconds.
         pub total: ServiceAccount,
-        /// Weighted total.
+        /// Weighted cost.
         pub weighted: f64,
-        /// The part of it that no plan could have avoided, for want of hosts.
+        /// Lower bound of the weighted cost, given the hosts that were present.
         pub weighted_bound: f64,
-        /// Groups formed.
+        /// Number of groups formed.
         pub formed: u64,
-        /// Groups replaced by a successor in one step.
+        /// Number of groups replaced by a successor in one command.
         pub replaced: u64,
-        /// Groups dissolved.
+        /// Number of groups dissolved.
         pub dissolved: u64,
-        /// Commands that the registry refused.
+        /// Number of actions that could not be executed or that the registry refused.
         pub refused: u64,
-        /// Rounds of planning.
+        /// Number of planning rounds.
         pub rounds: u64,
-        /// Time in the planner, in seconds; zero when no meter was given.
+        /// Time spent in the planner, in seconds; zero if the clock of the replay stands still.
         pub planning_seconds: f64,
-        /// Longest round, in seconds.
+        /// Time of the longest planning round, in seconds.
         pub longest_round_seconds: f64,
-        /// Decisions by reason; groups that wait are counted once for each wait.
+        /// Number of decisions by reason; a decision to wait counts once, not in every round.
         pub decisions: Vec<(PlanReason, u64)>,
-        /// Stated outcomes.
-        pub outcomes: Vec<StatedOutcome>,
-        /// Promises of the registry that did not hold.
+        /// Expectations of the trace and their outcomes.
+        pub outcomes: Vec<ExpectedOutcome>,
+        /// Violated invariants of the registry.
         pub violations: Vec<String>,
     }
 }
 
 impl ReplayReport {
-    /// Whether every stated outcome and every promise held.
+    /// Whether all expectations were met and no invariant was violated.
     pub fn holds(&self) -> bool {
         self.violations.is_empty() && self.outcomes.iter().all(|outcome| outcome.held)
     }
@@ -117,25 +117,27 @@
     fleet: ReplayFleet,
     planner: GroupPlanner,
     kind: PlannerKind,
-    meter: &'a mut dyn FnMut() -> Duration,
+    clock: &'a mut dyn FnMut() -> Duration,
     plan_at: Option<TimePoint>,
-    wake: Option<TimePoint>,
+    replan_at: Option<TimePoint>,
     rounds: u64,
-    planning: Duration,
-    longest: Duration,
+    planning_time: Duration,
+    longest_round: Duration,
     decisions: SortedTable<PlanReason, u64>,
     waits: Vec<(u64, PlanReason)>,
-    outcomes: Vec<StatedOutcome>,
+    outcomes: Vec<ExpectedOutcome>,
 }
 
-/// Replays `trace` through the planner and the registry; `meter` reads a clock for the time that
-/// planning takes and may always return zero.
+/// Replays `trace` with a planner of `kind` and the group registry.
+///
+/// `clock` is read before and after each planning round to measure the time that planning takes;
+/// it may always return zero.
 pub fn run_trace(
     trace: &HostTrace,
     kind: PlannerKind,
-    meter: &mut dyn FnMut() -> Duration,
+    clock: &mut dyn FnMut() -> Duration,
 ) -> ReplayReport {
-    let mut run = TraceRun::new(&trace.header, kind, meter);
+    let mut run = TraceRun::new(&trace.header, kind, clock);
     run.replay(&trace.lines, from_ms(trace.header.end_ms));
     run.report(&trace.header.trace)
 }
@@ -144,7 +146,7 @@
     pub(super) fn new(
         header: &TraceHeader,
         kind: PlannerKind,
-        meter: &'a mut dyn FnMut() -> Duration,
+        clock: &'a mut dyn FnMut() -> Duration,
     ) -> Self {
         let planner = match kind {
             PlannerKind::Cost => GroupPlanner::with_loads_ahead(),
@@ -154,83 +156,83 @@
             fleet: ReplayFleet::new(header),
             planner,
             kind,
-            meter,
+            clock,
             plan_at: None,
-            wake: None,
+            replan_at: None,
             rounds: 0,
-            planning: Duration::ZERO,
-            longest: Duration::ZERO,
+            planning_time: Duration::ZERO,
+            longest_round: Duration::ZERO,
             decisions: SortedTable::default(),
             waits: Vec::new(),
             outcomes: Vec::new(),
         }
     }
 
-    /// Takes in `lines` one after the other and goes on to `end`.
+    /// Processes `lines` in order and advances to `end`.
     pub(super) fn replay(&mut self, lines: &[TraceLine], end: TimePoint) {
         for line in lines {
             self.run_until(from_ms(line.at_ms));
-            self.take(line);
+            self.process_line(line);
         }
         self.run_until(end);
     }
 
-    /// The fleet as it is now.
+    /// The fleet in its current state.
     pub(super) fn fleet(&self) -> &ReplayFleet {
         &self.fleet
     }
 
-    /// Lets loads end and planning rounds happen up to `end`.
+    /// Advances to `end`, with the changes and planning rounds due until then.
     fn run_until(&mut self, end: TimePoint) {
         loop {
-            let wake = self.wake.map(|wake| wake.max(self.fleet.now()));
-            let plan = [self.plan_at, wake].into_iter().flatten().min();
+            let replan_at = self.replan_at.map(|replan_at| replan_at.max(self.fleet.now()));
+            let plan = [self.plan_at, replan_at].into_iter().flatten().min();
             let next = [self.fleet.next_change(), plan].into_iter().flatten().min();
             let Some(next) = next.filter(|next| *next < end) else { break };
             if self.fleet.advance(next) {
-                self.plan_soon();
+                self.schedule_plan();
             }
             if plan.is_some_and(|plan| plan <= next) {
                 self.plan();
             }
         }
         if self.fleet.advance(end) {
-            self.plan_soon();
+            self.schedule_plan();
         }
     }
 
-    fn plan_soon(&mut self) {
-        self.plan_at.get_or_insert(self.fleet.now().after(TICK));
+    fn schedule_plan(&mut self) {
+        self.plan_at.get_or_insert(self.fleet.now().after(PLANNING_DELAY));
     }
 
     fn plan(&mut self) {
         self.plan_at = None;
-        self.wake = None;
-        let started = (self.meter)();
+        self.replan_at = None;
+        let started = (self.clock)();
         let actions = match self.kind {
             PlannerKind::Naive => plan_first_come(self.fleet.view(), self.fleet.book()),
             PlannerKind::Cost | PlannerKind::Unprepared => self.plan_by_cost(),
         };
-        let spent = (self.meter)().saturating_sub(started);
+        let spent = (self.clock)().saturating_sub(started);
         self.rounds += 1;
-        self.planning += spent;
-        self.longest = self.longest.max(spent);
+        self.planning_time += spent;
+        self.longest_round = self.longest_round.max(spent);
         for action in &actions {
             self.fleet.act(action);
         }
         if !actions.is_empty() {
-            self.plan_soon();
+            self.schedule_plan();
         }
     }
 
     fn plan_by_cost(&mut self) -> Vec<PlanAction> {
         let now = self.fleet.now();
         let round = self.planner.step(now, self.fleet.view(), self.fleet.book());
-        // No earlier than the next tick, as in the control role.
-        self.wake = round.wake.map(|wake| wake.max(now.after(TICK)));
+        // Not before the planning delay has passed, as in the control role.
+        self.replan_at = round.replan_at.map(|replan_at| replan_at.max(now.after(PLANNING_DELAY)));
         let mut waits = Vec::new();
         for decision in &round.decisions {
-            let waiting = decision.group.is_some() && LASTING_REASONS.contains(&decision.reason);
+            let waiting = decision.group.is_some() && REPEATED_REASONS.contains(&decision.reason);
             let key = (decision.group.map_or(0, |group| group.0), decision.reason);
             if waiting {
                 waits.push(key);
@@ -243,7 +245,7 @@
         round.actions
     }
 
-    fn take(&mut self, line: &TraceLine) {
+    fn process_line(&mut self, line: &TraceLine) {
         let total = self.fleet.account().total();
         let (formed, replaced, ..) = self.fleet.changes();
         let (measured, held) = match &line.event {
@@ -263,11 +265,11 @@
             }
             event => {
                 self.fleet.apply(event);
-                return self.plan_soon();
+                return self.schedule_plan();
             }
         };
         let stated = line.event.clone();
-        self.outcomes.push(StatedOutcome { at_ms: line.at_ms, stated, measured, held });
+        self.outcomes.push(ExpectedOutcome { at_ms: line.at_ms, stated, measured, held });
     }
 
     fn report(self, trace: &str) -> ReplayReport {
@@ -284,11 +286,11 @@
             dissolved,
             refused,
             rounds: self.rounds,
-            planning_seconds: self.planning.as_secs_f64(),
-            longest_round_seconds: self.longest.as_secs_f64(),
+            planning_seconds: self.planning_time.as_secs_f64(),
+            longest_round_seconds: self.longest_round.as_secs_f64(),
             decisions: self.decisions.iter().map(|(reason, count)| (*reason, *count)).collect(),
             outcomes: self.outcomes,
-            violations: self.fleet.naive().violations().to_vec(),
+            violations: self.fleet.reference().violations().to_vec(),
         }
     }
 }
