--- a/crates/placement/src/lease/granter.rs
+++ b/crates/placement/src/lease/granter.rs
@@ -9,7 +9,7 @@
 
 /// Answer of a member to a request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PromiseDecision {
+pub enum LeaseDecision {
     /// The lease is granted for this duration from now.
     Granted(Duration),
     /// The lease is refused; carries the highest fencing number that the member has seen.
@@ -18,14 +18,14 @@
 
 /// State of a member that grants leases to the first host of at most one group at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HostPromise {
+pub struct LeaseGranter {
     assigned: Option<(GroupId, FencingNumber)>,
     highest_fencing: FencingNumber,
     promised: Option<(GroupId, FencingNumber, TimePoint)>,
     refuse_until: TimePoint,
 }
 
-impl HostPromise {
+impl LeaseGranter {
     /// Creates the state of an agent that started at `now` and knows of no earlier lease.
     ///
     /// The agent may have granted a lease just before it restarted, and granting another at once
@@ -52,7 +52,7 @@
 
     /// Applies a notice from control that the host belongs to no group; returns `false` and ignores
     /// it if its fencing number is lower than the highest one seen.
-    pub fn free(&mut self, fencing: FencingNumber) -> bool {
+    pub fn unassign(&mut self, fencing: FencingNumber) -> bool {
         if fencing < self.highest_fencing {
             return false;
         }
@@ -75,8 +75,8 @@
         now: TimePoint,
         group: GroupId,
         fencing: FencingNumber,
-    ) -> PromiseDecision {
-        let refused = PromiseDecision::Refused(self.highest_fencing);
+    ) -> LeaseDecision {
+        let refused = LeaseDecision::Refused(self.highest_fencing);
         if self.assigned != Some((group, fencing)) || now < self.refuse_until {
             return refused;
         }
@@ -88,6 +88,6 @@
             return refused;
         }
         self.promised = Some((group, fencing, now.after(LEASE_DURATION)));
-        PromiseDecision::Granted(LEASE_DURATION)
+        LeaseDecision::Granted(LEASE_DURATION)
     }
 }
--- a/crates/placement/src/lease/mod.rs
+++ b/crates/placement/src/lease/mod.rs
@@ -9,7 +9,7 @@
 mod granter;
 
 pub use gate::GroupGate;
-pub use granter::{HostPromise, PromiseDecision};
+pub use granter::{LeaseDecision, LeaseGranter};
 
 use std::time::Duration;
 
--- a/crates/placement/src/planner/group_planner.rs
+++ b/crates/placement/src/planner/group_planner.rs
@@ -132,7 +132,7 @@
 
 impl GroupPlanner {
     /// Creates a planner that prepares free hosts, for fleets that execute `PlanAction::Prepare`.
-    pub fn with_loads_ahead() -> Self {
+    pub fn with_preparation() -> Self {
         Self { prepares_hosts: true, ..Self::default() }
     }
 
--- a/crates/placement/src/replay/fleet.rs
+++ b/crates/placement/src/replay/fleet.rs
@@ -175,7 +175,7 @@
     }
 
     /// Executes an action of a planner.
-    pub fn act(&mut self, action: &PlanAction) {
+    pub fn execute(&mut self, action: &PlanAction) {
         self.rates_outdated = true;
         if let PlanAction::Prepare { host, rank, size, .. } = action {
             self.prepare(host, (*rank as usize, *size as usize));
--- a/crates/placement/src/replay/run.rs
+++ b/crates/placement/src/replay/run.rs
@@ -149,7 +149,7 @@
         clock: &'a mut dyn FnMut() -> Duration,
     ) -> Self {
         let planner = match kind {
-            PlannerKind::Cost => GroupPlanner::with_loads_ahead(),
+            PlannerKind::Cost => GroupPlanner::with_preparation(),
             PlannerKind::Naive | PlannerKind::Unprepared => GroupPlanner::default(),
         };
         Self {
@@ -218,7 +218,7 @@
         self.planning_time += spent;
         self.longest_round = self.longest_round.max(spent);
         for action in &actions {
-            self.fleet.act(action);
+            self.fleet.execute(action);
         }
         if !actions.is_empty() {
             self.schedule_plan();
--- a/crates/placement/src/replay/search.rs
+++ b/crates/placement/src/replay/search.rs
@@ -39,7 +39,7 @@
 }
 
 /// Searches all sequences of at most `actions` actions.
-pub fn search_best(trace: &HostTrace, actions: u32) -> SearchResult {
+pub fn search_best_plan(trace: &HostTrace, actions: u32) -> SearchResult {
     let mut clock = || std::time::Duration::ZERO;
     let planned = super::run_trace(trace, PlannerKind::Cost, &mut clock).weighted;
     let naive = super::run_trace(trace, PlannerKind::Naive, &mut clock).weighted;
@@ -69,7 +69,7 @@
         if actions > 0 {
             for action in possible_actions(fleet.view()) {
                 let mut branch = fleet.clone();
-                branch.act(&action);
+                branch.execute(&action);
                 self.path.push((fleet.now(), action));
                 self.explore(&branch, next, actions - 1);
                 self.path.pop();
--- a/crates/placement/src/replay/trace.rs
+++ b/crates/placement/src/replay/trace.rs
@@ -222,7 +222,7 @@
     /// Sets the cost weights of all place rules, in the header and in later rule documents.
     ///
     /// A document without place rules gets one that applies to all hosts. `None` keeps a weight.
-    pub fn set_weights(&mut self, downtime: Option<f64>, stranded: Option<f64>) {
+    pub fn set_cost_weights(&mut self, downtime: Option<f64>, stranded: Option<f64>) {
         let events = self.lines.iter_mut().filter_map(|line| match &mut line.event {
             TraceEvent::Rules { rules } => Some(rules),
             _ => None,
