--- a/crates/fleet/src/director/demand.rs
+++ b/crates/fleet/src/director/demand.rs
@@ -1,8 +1,8 @@
-//! How much work callers ask for, by model.
+//! Demand of callers by model.
 //!
-//! Entries count what arrives, refused requests included, in time of a whole group. The sum is
-//! smoothed over some seconds: a group takes a second to form and many to load, so a burst that
-//! is over sooner is not worth chasing.
+//! Entries count the requests that arrive, refused ones included, as the time that a whole group
+//! needs for them. The sum is smoothed over several seconds: a group takes a second to form and
+//! many seconds to load, so reacting to a shorter burst does not pay.
 
 use std::time::Duration;
 
@@ -11,41 +11,41 @@
 
 use crate::message::{ModelDemand, WorkSum};
 
-/// Time over which demand is smoothed.
-const SMOOTHING: Duration = Duration::from_secs(4);
+/// Time constant of the exponential smoothing.
+const SMOOTHING_TIME: Duration = Duration::from_secs(4);
 
-/// Time of counting before the figures are believed at all.
-const WARM_UP: Duration = Duration::from_secs(3);
+/// Time of counting before the rates are trusted at all.
+const MIN_COUNTING_TIME: Duration = Duration::from_secs(3);
 
-/// Time after that in which they come to be believed wholly: prompts differ tenfold in length, and the
-/// figures of the first seconds may be off by a half.
-const TRUSTED_AFTER: Duration = Duration::from_secs(6);
+/// Time after [`MIN_COUNTING_TIME`] until the rates are fully trusted: prompt lengths differ
+/// tenfold, and the rates of the first seconds may be off by a half.
+const FULL_TRUST_TIME: Duration = Duration::from_secs(6);
 
-/// Demand by service and model, for each second.
+/// Demand per second by service and model.
 #[derive(Debug, Clone, Default)]
 pub struct DemandBook {
     counts: SortedTable<(ServiceName, String), WorkSum>,
     rates: SortedTable<(ServiceName, String), WorkSum>,
-    began: Option<TimePoint>,
-    rolled: Option<TimePoint>,
+    started_at: Option<TimePoint>,
+    last_update: Option<TimePoint>,
 }
 
 impl DemandBook {
     /// Adds what an entry counted since its last report.
     pub fn add(&mut self, now: TimePoint, demand: &ModelDemand) {
-        self.began.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         let key = (demand.service.clone(), demand.model.clone());
         self.counts.get_or_insert_with(key, WorkSum::default).add(&demand.sum);
     }
 
-    /// Folds what was added into the smoothed rates; called at a steady pace.
-    pub fn roll(&mut self, now: TimePoint) {
-        let Some(rolled) = self.rolled.replace(now) else { return };
-        let span = now.since(rolled).as_secs_f64();
+    /// Moves the added counts into the smoothed rates; called at regular intervals.
+    pub fn update_rates(&mut self, now: TimePoint) {
+        let Some(last_update) = self.last_update.replace(now) else { return };
+        let span = now.since(last_update).as_secs_f64();
         if span <= 0.0 {
             return;
         }
-        let weight = 1.0 - (-span / SMOOTHING.as_secs_f64()).exp();
+        let weight = 1.0 - (-span / SMOOTHING_TIME.as_secs_f64()).exp();
         for (key, count) in self.counts.iter_mut() {
             let rate = self.rates.get_or_insert_with(key.clone(), WorkSum::default);
             let counted = std::mem::take(count);
@@ -54,27 +54,27 @@
         }
     }
 
-    /// How much the figures are believed, 0 to 1.
+    /// Weight of the measured demand, from 0 (not trusted) to 1.
     pub fn trust(&self, now: TimePoint) -> f64 {
-        let counted = now.since(self.began.unwrap_or(now)).saturating_sub(WARM_UP);
-        (counted.as_secs_f64() / TRUSTED_AFTER.as_secs_f64()).min(1.0)
+        let counted = now.since(self.started_at.unwrap_or(now)).saturating_sub(MIN_COUNTING_TIME);
+        (counted.as_secs_f64() / FULL_TRUST_TIME.as_secs_f64()).min(1.0)
     }
 
-    /// What callers ask of `model` in a second.
-    pub fn of(&self, now: TimePoint, service: &ServiceName, model: &str) -> WorkSum {
-        let age = now.since(self.began.unwrap_or(now));
+    /// Demand for `model` per second.
+    pub fn rate(&self, now: TimePoint, service: &ServiceName, model: &str) -> WorkSum {
+        let age = now.since(self.started_at.unwrap_or(now));
         let rate =
             self.rates.get(&(service.clone(), model.to_owned())).copied().unwrap_or_default();
-        // Smoothing began at nothing.
-        let seen = 1.0 - (-age.as_secs_f64() / SMOOTHING.as_secs_f64()).exp();
-        if seen > 0.0 { rate.times(1.0 / seen) } else { WorkSum::default() }
+        // The smoothed rate starts at zero; dividing by the covered weight removes that bias.
+        let covered = 1.0 - (-age.as_secs_f64() / SMOOTHING_TIME.as_secs_f64()).exp();
+        if covered > 0.0 { rate.times(1.0 / covered) } else { WorkSum::default() }
     }
 
-    /// The smoothed rates in a few words.
+    /// Smoothed rates as one line for the log.
     pub fn summary(&self) -> String {
-        let tell = |((_, model), rate): (&(ServiceName, String), &WorkSum)| {
+        let describe = |((_, model), rate): (&(ServiceName, String), &WorkSum)| {
             format!("{model} {:.1}", rate.work_ms / 1e3)
         };
-        self.rates.iter().map(tell).collect::<Vec<_>>().join(" ")
+        self.rates.iter().map(describe).collect::<Vec<_>>().join(" ")
     }
 }
--- a/crates/fleet/src/director/evacuation.rs
+++ b/crates/fleet/src/director/evacuation.rs
@@ -1,13 +1,14 @@
-//! Which groups stand aside while availability zones are evacuated.
+//! Groups in evacuated availability zones.
 //!
-//! Load pattern: one zone of three is evacuated, and the other two get its requests within moments. Its groups
-//! get nothing more and are left as they are, so that they serve again at once when the zone is readmitted.
-//! The planner sees neither them nor their hosts: what callers ask for is split over the hosts that are left.
+//! Load pattern: one zone of three is evacuated, and the other two get its requests within moments.
+//! The groups of the evacuated zone get no requests but stay formed, so that they serve at once
+//! when the zone is readmitted. The planner sees neither these groups nor their hosts: it splits
+//! the remaining hosts by the demand.
 
 use super::hosts::HostTable;
 use crate::state::{FleetState, GroupHost, GroupRecord};
 
-/// Whether a host of the group is in a zone that is evacuated.
+/// Whether the zone of the group, or of one of its hosts, is evacuated.
 pub(super) fn is_evacuated(hosts: &HostTable, state: &FleetState, record: &GroupRecord) -> bool {
     if state.evacuated().is_empty() {
         return false;
--- a/crates/fleet/src/director/group.rs
+++ b/crates/fleet/src/director/group.rs
@@ -1,9 +1,9 @@
-//! What one group needs next.
+//! Steps that form, close and end one group.
 //!
-//! [`next_step`] looks at what the members report and names one step. Every step may be asked for
-//! again: orders get lost, or are carried out seconds late, so a step counts as done only when a
-//! report shows it. An order names its group, and a group's number is never used again, so an
-//! order that arrives late finds either its own group or nothing.
+//! [`next_step`] reads the reports of the members and returns one step. Every step is idempotent,
+//! since orders get lost or are carried out seconds late: a step counts as done only when a report
+//! shows its effect. An order names its group and group ids are never reused, so a delayed order
+//! applies to its own group or to nothing.
 
 use std::time::Duration;
 
@@ -16,70 +16,71 @@
 use crate::deployment::DeploymentPlan;
 use crate::state::{FleetState, GroupHost, GroupRecord};
 
-/// Wait before an order that shows no effect is sent again.
-const ORDER_AGAIN: Duration = Duration::from_millis(500);
+/// Wait before an order without visible effect is sent again.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// As above for a join, which shows only when the model is warm. One that was not answered is
-/// sent again at once.
-const JOIN_AGAIN: Duration = Duration::from_millis(3_000);
+/// Wait before a join order without visible effect is sent again: a join shows only once the model
+/// is warm. A join without an answer is sent again at once.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// Time for a group to form, beyond the time of its loads, before another one is tried.
-const FORM_SLACK: Duration = Duration::from_secs(3);
+/// Time for a group to form, beyond the timeout of its loads, before the attempt is given up.
+const FORMATION_SLACK: Duration = Duration::from_secs(3);
 
-/// Time that a group which closes for a planned reason has for the work that runs. The longest
-/// answers take three seconds; a member that drains stays for ten.
-const CLOSE_PATIENCE: Duration = Duration::from_secs(6);
+/// Time that a group has to complete running requests when it closes for a planned reason. The
+/// longest answers take three seconds; a member that drains stays for ten.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What the leader remembers of a group beside the log and the reports.
+/// State that the leader keeps for a group beside the log and the reports.
 #[derive(Debug, Clone)]
-pub(super) struct GroupRun {
-    pub(super) since: TimePoint,
-    /// Longest time its loads may take.
-    pub(super) patience: Duration,
-    /// Members that reported to be ready for this very group.
+pub(super) struct GroupTracker {
+    pub(super) started_at: TimePoint,
+    /// Longest time that its loads may take.
+    pub(super) load_timeout: Duration,
+    /// Members that reported to be ready in this group.
     pub(super) ready: Vec<IncarnationId>,
-    asked: SortedTable<IncarnationId, (EndpointOrder, TimePoint)>,
-    /// When it was found to lack a member, or to have a leaving one.
-    pub(super) ending: Option<TimePoint>,
-    /// Whether it has served.
-    pub(super) opened: bool,
+    last_orders: SortedTable<IncarnationId, (EndpointOrder, TimePoint)>,
+    /// When the group was found to lack a member or to have a leaving one, or was chosen to end.
+    pub(super) ending_since: Option<TimePoint>,
+    /// Whether the group has served.
+    pub(super) has_served: bool,
 }
 
-impl GroupRun {
-    pub(super) fn new(now: TimePoint, patience: Duration) -> Self {
+impl GroupTracker {
+    pub(super) fn new(now: TimePoint, load_timeout: Duration) -> Self {
         Self {
-            since: now,
-            patience,
+            started_at: now,
+            load_timeout,
             ready: Vec::new(),
-            asked: SortedTable::new(),
-            ending: None,
-            opened: false,
+            last_orders: SortedTable::new(),
+            ending_since: None,
+            has_served: false,
         }
     }
 
-    /// An order to `id` was not answered; the next one may be sent at once.
-    pub(super) fn forget_asked(&mut self, id: &IncarnationId, order: &EndpointOrder) {
-        if self.asked.get(id).is_some_and(|(last, _)| last == order) {
-            self.asked.remove(id);
+    /// Allows `order` to be sent to `id` again at once, since it was not answered.
+    pub(super) fn forget_order(&mut self, id: &IncarnationId, order: &EndpointOrder) {
+        if self.last_orders.get(id).is_some_and(|(last, _)| last == order) {
+            self.last_orders.remove(id);
         }
     }
 
-    /// Whether `order` is due: it is not the one asked for last, or that was a while ago.
-    fn may_ask(&mut self, now: TimePoint, id: &IncarnationId, order: &EndpointOrder) -> bool {
-        let asked = self.asked.get(id);
+    /// Whether `order` is due, which then counts as sent: it differs from the last order to `id`,
+    /// or the retry interval has passed.
+    fn should_send(&mut self, now: TimePoint, id: &IncarnationId, order: &EndpointOrder) -> bool {
+        let last_order = self.last_orders.get(id);
         let wait = match order {
-            EndpointOrder::Join { .. } => JOIN_AGAIN,
-            _ => ORDER_AGAIN,
+            EndpointOrder::Join { .. } => JOIN_RETRY_INTERVAL,
+            _ => ORDER_RETRY_INTERVAL,
         };
-        let due = asked.is_none_or(|(last, at)| last != order || now.since(*at) >= wait);
+        let due = last_order.is_none_or(|(last, at)| last != order || now.since(*at) >= wait);
         if due {
-            self.asked.insert(id.clone(), (order.clone(), now));
+            self.last_orders.insert(id.clone(), (order.clone(), now));
         }
         due
     }
 }
 
-/// What a group needs.
+/// Next step of a group.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum GroupStep {
     Nothing,
@@ -87,8 +88,8 @@
     End,
 }
 
-/// Everything that decisions about groups look at.
-pub(super) struct GroupScene<'a> {
+/// Inputs of the decisions about groups.
+pub(super) struct GroupContext<'a> {
     pub(super) now: TimePoint,
     pub(super) hosts: &'a HostTable,
     pub(super) pulses: &'a PulseBook,
@@ -97,15 +98,15 @@
     leaving: Vec<&'a IncarnationId>,
 }
 
-/// A host of a group as the leader knows it.
+/// A member of a group as the leader sees it.
 struct MemberView<'a> {
     id: &'a IncarnationId,
-    /// Unknown where the endpoint is gone.
+    /// `None` when the endpoint is unknown or removed.
     host: Option<&'a HostRecord>,
     /// Whether it takes no new work.
     leaving: bool,
-    /// How far it is in the group; `None` when it is not in it.
-    mark: Option<MarkState>,
+    /// State of the member in this group; `None` when it reports another group or none.
+    state: Option<MarkState>,
 }
 
 impl MemberView<'_> {
@@ -113,28 +114,28 @@
         self.host.is_none_or(HostRecord::is_lost)
     }
 
-    /// Whether this leader has yet to hear of it: what an earlier leader knew proves nothing.
-    fn is_unheard(&self) -> bool {
+    /// Whether this leader has yet to hear from it: what an earlier leader knew is no evidence.
+    fn is_unconfirmed(&self) -> bool {
         self.host.is_some_and(|host| host.inherited)
     }
 
-    /// Whether it is lost: two probes went unanswered, or one while an entry finds its group silent. The second
-    /// witness saves the time of a probe.
+    /// Whether it counts as missing: two probes failed, or one failed while an entry finds its
+    /// group silent. The second source saves the time of a probe.
     fn is_missing(&self, suspect: impl Fn() -> bool) -> bool {
         self.is_lost() || (self.host.is_some_and(|host| host.failures > 0) && suspect())
     }
 }
 
-/// A group with what is known of its hosts, each of which is looked up once.
-pub(super) struct GroupSight<'a> {
-    scene: &'a GroupScene<'a>,
+/// A group with its members, each of which is looked up once.
+pub(super) struct GroupStatus<'a> {
+    context: &'a GroupContext<'a>,
     group: GroupId,
     record: &'a GroupRecord,
     members: Vec<MemberView<'a>>,
 }
 
-impl<'a> GroupScene<'a> {
-    /// What `hosts` and `pulses` tell of the groups of `state` under `plan`.
+impl<'a> GroupContext<'a> {
+    /// Collects the inputs for the groups of `state`.
     pub(super) fn new(
         now: TimePoint,
         hosts: &'a HostTable,
@@ -145,21 +146,23 @@
         Self { now, hosts, pulses, plan, leaving: state.leaving_by_name() }
     }
 
-    /// Looks up the hosts of a group.
-    pub(super) fn sight(&'a self, group: GroupId, record: &'a GroupRecord) -> GroupSight<'a> {
+    /// Looks up the members of a group.
+    pub(super) fn status(&'a self, group: GroupId, record: &'a GroupRecord) -> GroupStatus<'a> {
         let view = |member: &'a GroupHost| {
             let host = self.hosts.get(&member.id);
-            let mark = host.and_then(|host| host.beat.report.mark.as_ref());
+            let membership = host.and_then(|host| host.beat.report.mark.as_ref());
             MemberView {
                 id: &member.id,
                 host,
                 leaving: host.is_some_and(|host| host.beat.leaving)
                     || self.leaving.binary_search(&&member.id).is_ok(),
-                mark: mark.filter(|mark| mark.group == group).map(|mark| mark.state),
+                state: membership
+                    .filter(|membership| membership.group == group)
+                    .map(|membership| membership.state),
             }
         };
-        GroupSight {
-            scene: self,
+        GroupStatus {
+            context: self,
             group,
             record,
             members: record.members.iter().map(view).collect(),
@@ -167,17 +170,17 @@
     }
 }
 
-impl GroupSight<'_> {
+impl GroupStatus<'_> {
     fn head(&self) -> Option<&MemberView<'_>> {
         self.members.first()
     }
 
-    /// Whether the group serves: its first host says so, and it lacks nobody.
+    /// Whether the group serves: its head reports so, and no member is missing or leaving.
     pub(super) fn is_open(&self) -> bool {
-        self.head().is_some_and(|head| head.mark == Some(MarkState::Open)) && !self.is_impaired()
+        self.head().is_some_and(|head| head.state == Some(MarkState::Open)) && !self.is_impaired()
     }
 
-    /// Whether a member is lost, and no entry proves the opposite, or one is leaving.
+    /// Whether a member is leaving, or one is missing and no entry observes that the group works.
     fn is_impaired(&self) -> bool {
         self.members.iter().any(|member| member.leaving)
             || (self.lacks_member() && !self.is_moving())
@@ -189,128 +192,133 @@
 
     fn is_missing(&self, member: &MemberView<'_>) -> bool {
         let suspect =
-            || self.scene.pulses.is_suspect(self.scene.now, self.group, self.silence_limit());
+            || self.context.pulses.is_suspect(self.context.now, self.group, self.silence_limit());
         member.is_missing(suspect)
     }
 
-    /// Whether entries prove that the whole group works.
+    /// Whether an entry observes that the whole group works.
     fn is_moving(&self) -> bool {
-        self.scene.pulses.is_moving(self.scene.now, self.group, self.silence_limit())
+        self.context.pulses.is_moving(self.context.now, self.group, self.silence_limit())
     }
 
-    /// Silence after which the group most likely stands still.
+    /// Silence after which the group has most likely stalled.
     fn silence_limit(&self) -> Duration {
-        let service = self.scene.plan.service(&self.record.service);
+        let service = self.context.plan.service(&self.record.service);
         let engine = service.and_then(|service| service.engine.as_ref());
         engine
             .and_then(|engine| Some(engine.silence_limit(engine.model(&self.record.model)?)))
-            .unwrap_or(PROOF_AGE)
+            .unwrap_or(DEFAULT_SILENCE_LIMIT)
     }
 }
 
-/// Age up to which bytes of a group prove that it works, where its engine is not known.
-const PROOF_AGE: Duration = Duration::from_millis(700);
+/// Silence limit of a group whose engine is not known.
+const DEFAULT_SILENCE_LIMIT: Duration = Duration::from_millis(700);
 
-/// The next step of the group in `sight`.
-pub(super) fn next_step(sight: &GroupSight<'_>, run: &mut GroupRun) -> GroupStep {
-    for member in &sight.members {
-        let here =
-            matches!(member.mark, Some(MarkState::Ready | MarkState::Open | MarkState::Closing));
-        if here && !run.ready.contains(member.id) {
-            run.ready.push(member.id.clone());
+/// Returns the next step of the group and updates its tracker.
+pub(super) fn next_step(status: &GroupStatus<'_>, tracker: &mut GroupTracker) -> GroupStep {
+    for member in &status.members {
+        let has_joined =
+            matches!(member.state, Some(MarkState::Ready | MarkState::Open | MarkState::Closing));
+        if has_joined && !tracker.ready.contains(member.id) {
+            tracker.ready.push(member.id.clone());
         }
     }
-    let unheard = || sight.members.iter().any(MemberView::is_unheard);
-    if run.ending.is_none() && unheard() && !sight.is_impaired() {
+    let unconfirmed = || status.members.iter().any(MemberView::is_unconfirmed);
+    if tracker.ending_since.is_none() && unconfirmed() && !status.is_impaired() {
         return GroupStep::Nothing;
     }
-    if run.ending.is_none() && must_end(sight, run) {
-        run.ending = Some(sight.scene.now);
+    if tracker.ending_since.is_none() && must_end(status, tracker) {
+        tracker.ending_since = Some(status.context.now);
     }
-    match run.ending {
-        Some(since) => end_step(sight, run, since),
-        None => form_step(sight, run),
+    match tracker.ending_since {
+        Some(since) => end_step(status, tracker, since),
+        None => form_step(status, tracker),
     }
 }
 
-fn must_end(sight: &GroupSight<'_>, run: &GroupRun) -> bool {
-    if sight.is_impaired() {
+fn must_end(status: &GroupStatus<'_>, tracker: &GroupTracker) -> bool {
+    if status.is_impaired() {
         return true;
     }
-    let Some(head) = sight.head() else { return true };
-    if run.opened {
-        // A member that fell out stops the group as one that died does.
-        let fell_out = !matches!(head.mark, Some(MarkState::Open | MarkState::Ready))
-            || sight.members.iter().any(|member| member.mark.is_none());
-        return fell_out && !sight.is_moving();
+    let Some(head) = status.head() else { return true };
+    if tracker.has_served {
+        // A member that left the group stalls it just as a dead one does.
+        let has_left = !matches!(head.state, Some(MarkState::Open | MarkState::Ready))
+            || status.members.iter().any(|member| member.state.is_none());
+        return has_left && !status.is_moving();
     }
-    if sight.record.standby && run.ready.contains(head.id) {
-        return head.mark.is_none();
+    if status.record.standby && tracker.ready.contains(head.id) {
+        return head.state.is_none();
     }
-    sight.scene.now.since(run.since) > run.patience + FORM_SLACK
+    status.context.now.since(tracker.started_at) > tracker.load_timeout + FORMATION_SLACK
 }
 
-/// Brings a group to serve: every member joins, then the first host opens.
-fn form_step(sight: &GroupSight<'_>, run: &mut GroupRun) -> GroupStep {
-    let Some(head) = sight.head() else { return GroupStep::End };
-    if head.mark == Some(MarkState::Open) {
-        run.opened = true;
+/// Forms the group: every member joins, then the head opens.
+fn form_step(status: &GroupStatus<'_>, tracker: &mut GroupTracker) -> GroupStep {
+    let Some(head) = status.head() else { return GroupStep::End };
+    if head.state == Some(MarkState::Open) {
+        tracker.has_served = true;
         return GroupStep::Nothing;
     }
-    let (group, record) = (sight.group, sight.record);
-    let all_ready = sight.members.iter().all(|member| run.ready.contains(member.id));
+    let (group, record) = (status.group, status.record);
+    let all_ready = status.members.iter().all(|member| tracker.ready.contains(member.id));
     if all_ready && record.standby {
         return GroupStep::Nothing;
     }
-    if all_ready && head.mark == Some(MarkState::Ready) {
-        return order(sight, run, head, EndpointOrder::Open { group });
+    if all_ready && head.state == Some(MarkState::Ready) {
+        return order_member(status, tracker, head, EndpointOrder::Open { group });
     }
     let members: Vec<IncarnationId> = record.members.iter().map(|host| host.id.clone()).collect();
     let mut calls = Vec::new();
-    for member in &sight.members {
-        let missing = member.mark.is_none() && !run.ready.contains(member.id);
+    for member in &status.members {
+        let missing = member.state.is_none() && !tracker.ready.contains(member.id);
         let (model, members) = (record.model.clone(), members.clone());
         let join = EndpointOrder::Join { group, model, members };
-        if missing && run.may_ask(sight.scene.now, member.id, &join) {
-            calls.push(call(member, join));
+        if missing && tracker.should_send(status.context.now, member.id, &join) {
+            calls.push(order_call(member, join));
         }
     }
     GroupStep::Order(calls.into_iter().flatten().collect())
 }
 
-/// Takes a group apart. Its hosts are free only when its first host serves no more: a member
+/// Closes and ends the group. Its hosts become free only when its head no longer serves: a member
 /// that joined elsewhere earlier would be in two groups at once.
-fn end_step(sight: &GroupSight<'_>, run: &mut GroupRun, since: TimePoint) -> GroupStep {
-    let Some(head) = sight.head() else { return GroupStep::End };
-    if sight.is_missing(head) {
+fn end_step(status: &GroupStatus<'_>, tracker: &mut GroupTracker, since: TimePoint) -> GroupStep {
+    let Some(head) = status.head() else { return GroupStep::End };
+    if status.is_missing(head) {
         return GroupStep::End;
     }
-    match head.mark {
-        // The members are told to leave once the group has ended.
+    match head.state {
+        // The members are ordered to leave once the group has ended in the log.
         None | Some(MarkState::Broken | MarkState::Joining | MarkState::Ready) => GroupStep::End,
         Some(MarkState::Open | MarkState::Closing) => {
-            let late = sight.scene.now.since(since) > CLOSE_PATIENCE;
-            // Without all members nothing moves, and waiting would only hold the hosts.
-            let cut = sight.lacks_member() || late;
-            let method = if cut { CloseMethod::Truncate } else { CloseMethod::Wait };
-            order(sight, run, head, EndpointOrder::Close { group: sight.group, method })
+            let timed_out = status.context.now.since(since) > CLOSE_TIMEOUT;
+            // With a member missing no request progresses, and waiting would only hold the hosts.
+            let truncate = status.lacks_member() || timed_out;
+            let method = if truncate { CloseMethod::Truncate } else { CloseMethod::Wait };
+            order_member(
+                status,
+                tracker,
+                head,
+                EndpointOrder::Close { group: status.group, method },
+            )
         }
     }
 }
 
-fn order(
-    sight: &GroupSight<'_>,
-    run: &mut GroupRun,
+fn order_member(
+    status: &GroupStatus<'_>,
+    tracker: &mut GroupTracker,
     member: &MemberView<'_>,
     order: EndpointOrder,
 ) -> GroupStep {
-    if !run.may_ask(sight.scene.now, member.id, &order) {
+    if !tracker.should_send(status.context.now, member.id, &order) {
         return GroupStep::Nothing;
     }
-    GroupStep::Order(call(member, order).into_iter().collect())
+    GroupStep::Order(order_call(member, order).into_iter().collect())
 }
 
-fn call(member: &MemberView<'_>, order: EndpointOrder) -> Option<OrderCall> {
+fn order_call(member: &MemberView<'_>, order: EndpointOrder) -> Option<OrderCall> {
     let address = member.host?.beat.address.clone();
     Some(OrderCall { id: member.id.clone(), address, order })
 }
--- a/crates/fleet/src/director/hosts.rs
+++ b/crates/fleet/src/director/hosts.rs
@@ -1,46 +1,47 @@
-//! The endpoints that the leader knows, and which of them are lost.
+//! Table of known endpoints, with failure detection.
 //!
-//! A beat every second or so is too slow a sign of death: a group stands still as soon as one
-//! member is gone, while its first host goes on accepting requests. So members are asked for a
-//! report every [`PROBE_EVERY`], at once when an entry finds a group silent, and again
-//! right after a failure. Two failures in a row without any sign of life between them count as
-//! lost; one may be a lost packet.
+//! A heartbeat every second or so detects a loss too late: a group stalls as soon as one member is
+//! gone, while its head goes on accepting requests. So members are probed for a report every
+//! [`PROBE_INTERVAL`], at once when an entry finds a group silent, and again right after a failure.
+//! Two consecutive failures without a sign of life count as a loss; a single one may be a lost
+//! packet.
 
 use std::time::Duration;
 
 use briartray_model::names::{IncarnationId, ServiceName, ZoneName};
 use briartray_model::{SortedTable, TimePoint};
 
-use super::host_record::{HostRecord, PROBE_EVERY};
+use super::host_record::{HostRecord, PROBE_INTERVAL};
 use super::{EndpointBeat, EndpointOrder, EndpointReport, ProbeCall};
 
-/// As above for one that is lost: its first beat tells of its return.
-const PROBE_LOST: Duration = Duration::from_millis(2_500);
+/// Time between two probes of a lost endpoint; its first heartbeat tells of its return sooner.
+const LOST_PROBE_INTERVAL: Duration = Duration::from_millis(2_500);
 
-/// Silence after which an endpoint is forgotten unless it answers probes.
+/// Silence after which an endpoint is removed unless it answers probes.
 const FORGET_AFTER: Duration = Duration::from_secs(12);
 
-/// Time between two reports of a member of a group that entries find silent.
+/// Shortest time from an answer to the next probe of a member of a group that entries find silent.
 ///
-/// Each entry with a request there tells so with every report for two seconds, and a fleet has many
-/// entries. If each of their words asked all members anew, entries that are cut off from one group would
-/// keep the leader busy with members that have all answered. One that dies right after its answer is
-/// found this much later at the most.
-const SUSPECT_EVERY: Duration = Duration::from_millis(200);
+/// Each entry with a request there reports the silence repeatedly for two seconds, and a fleet has
+/// many entries. If every report caused probes of all members, entries that are cut off from one
+/// group would keep the leader busy with members that have all answered. A member that dies right
+/// after its answer is found this much later at most.
+const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reports under way at one time. A new leader asks all endpoints that it inherits; of hundreds that answer
-/// at once it reads some too late, takes them for lost, and has to ask them who they are.
-const PROBES_AT_ONCE: usize = 64;
+/// Probes in flight at one time. A new leader probes all endpoints that it inherits: if hundreds
+/// answered at once, it would read some answers too late, take these endpoints for lost, and have
+/// to check their identities.
+const MAX_PROBES_IN_FLIGHT: usize = 64;
 
-/// Time after which a question counts as one that was never asked. An answer, or that none came, is known
-/// within half of it; a control host that was to ask may have died with what it knew.
-const QUESTION_LOST: Duration = Duration::from_millis(600);
+/// Time after which a probe without a result counts as never sent. A result is known within half of
+/// it, but the control host that was to send the probe may have died.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Wait before an endpoint is asked again who it is.
-const PROOF_AGAIN: Duration = Duration::from_millis(500);
+/// Time between two identity checks of an endpoint.
+const IDENTITY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Wait before an order to stage that was not answered, or refused, is followed by another one.
-const STAGE_AGAIN: Duration = Duration::from_millis(1_000);
+/// Wait before the next staging order when one was not answered or was refused.
+const STAGE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// All known endpoints.
 #[derive(Debug, Clone, Default)]
@@ -49,35 +50,35 @@
 }
 
 impl HostTable {
-    /// Takes a beat; `false` when it is older than what is known.
+    /// Records a heartbeat; `false` when it is older than what is known.
     ///
-    /// A beat may be delayed for seconds, and arrive when its sender has died and another
-    /// incarnation has its address. So one that names the address of another endpoint proves
-    /// nothing: both are asked who they are. Late beats were believed once, the endpoints that had
-    /// just come back were taken for dead, and their groups were taken apart.
+    /// A heartbeat may be delayed by seconds and arrive when its sender has died and another
+    /// incarnation has its address. So a heartbeat from the address of another endpoint proves
+    /// nothing, and the identity of both is checked. When late heartbeats were believed, endpoints
+    /// that had just come back were taken for dead and their groups were ended.
     ///
-    /// An endpoint may also start again under its old name: its earlier start is gone then with its
-    /// groups and its count of beats, and a late beat of it says nothing.
+    /// An endpoint may also restart under its old name: its earlier incarnation is then gone with
+    /// its groups and its sequence numbers, and a late heartbeat of it is ignored.
     pub fn beat(&mut self, now: TimePoint, beat: EndpointBeat) -> bool {
         if self.records.get(&beat.id).is_none() && !self.replace_earlier(&beat.id) {
             return false;
         }
-        let rivals = self.rivals(&beat);
-        self.ask_proof(now, &rivals);
-        let contested = !rivals.is_empty();
+        let claimants = self.claimants(&beat);
+        self.request_identity_checks(now, &claimants);
+        let address_contested = !claimants.is_empty();
         let Some(record) = self.records.get_mut(&beat.id) else {
             let mut record = HostRecord::new(now, beat);
-            record.unproven = contested && record.serves_in_groups();
-            record.contested = contested;
+            record.unverified = address_contested && record.serves_in_groups();
+            record.address_contested = address_contested;
             self.records.insert(record.beat.id.clone(), record);
             return true;
         };
-        // Beats overtake each other: a late one would bring back a group that has ended.
+        // Heartbeats may arrive out of order: a late one would bring back a group that has ended.
         if beat.sequence <= record.beat.sequence {
             return false;
         }
-        record.contested = contested;
-        record.heard(now);
+        record.address_contested = address_contested;
+        record.record_contact(now);
         record.cold_until = now.after(Duration::from_millis(beat.cold_ms));
         let leaving = record.beat.leaving || beat.leaving;
         let report = beat.report.clone().completed(&record.beat.report);
@@ -85,7 +86,7 @@
         true
     }
 
-    /// Forgets earlier starts of the endpoint; `false` when a later one than `id` is known.
+    /// Removes earlier incarnations of the endpoint; `false` when a later one than `id` is known.
     fn replace_earlier(&mut self, id: &IncarnationId) -> bool {
         let is_latest = !self.records.keys().any(|known| id.is_before(known));
         if is_latest {
@@ -94,199 +95,218 @@
         is_latest
     }
 
-    /// Other endpoints at the address that `beat` names.
+    /// Other endpoints at the address of `beat`.
     ///
-    /// All are looked through only for an address that is new, or that another one had: beats of
-    /// 22,000 hosts would look at each other 400 million times a second.
-    fn rivals(&self, beat: &EndpointBeat) -> Vec<IncarnationId> {
-        let alone = |record: &HostRecord| !record.contested && record.beat.address == beat.address;
-        if self.records.get(&beat.id).is_some_and(alone) {
+    /// All records are scanned only when the address is new or was contested: if heartbeats of
+    /// 22,000 hosts each scanned all records, that would make 400 million comparisons a second.
+    fn claimants(&self, beat: &EndpointBeat) -> Vec<IncarnationId> {
+        let is_uncontested =
+            |record: &HostRecord| !record.address_contested && record.beat.address == beat.address;
+        if self.records.get(&beat.id).is_some_and(is_uncontested) {
             return Vec::new();
         }
-        let rival = |(id, host): &(&IncarnationId, &HostRecord)| {
+        let claimant = |(id, host): &(&IncarnationId, &HostRecord)| {
             host.beat.address == beat.address && **id != beat.id
         };
-        self.records.iter().filter(rival).map(|(id, _)| id.clone()).collect()
+        self.records.iter().filter(claimant).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Asks endpoints who they are, as soon as possible.
-    fn ask_proof(&mut self, now: TimePoint, ids: &[IncarnationId]) {
+    /// Schedules identity checks of endpoints at the next opportunity.
+    fn request_identity_checks(&mut self, now: TimePoint, ids: &[IncarnationId]) {
         for id in ids {
             if let Some(record) = self.records.get_mut(id) {
-                record.contested = true;
-                record.proof_due = true;
-                record.proof_at = record.proof_at.min(now);
+                record.address_contested = true;
+                record.identity_check_due = true;
+                record.next_identity_check_at = record.next_identity_check_at.min(now);
             }
         }
     }
 
-    /// Endpoints that are to be asked who they are, `room` of them at the most.
-    pub fn due_proofs(&mut self, now: TimePoint, room: usize) -> Vec<(IncarnationId, String)> {
+    /// Endpoints whose identity is to be checked now, at most `capacity`.
+    pub fn due_identity_checks(
+        &mut self,
+        now: TimePoint,
+        capacity: usize,
+    ) -> Vec<(IncarnationId, String)> {
         let mut due = Vec::new();
         for (id, record) in self.records.iter_mut() {
-            if due.len() >= room {
+            if due.len() >= capacity {
                 break;
             }
-            if (record.unproven || record.proof_due) && now >= record.proof_at {
-                record.proof_due = false;
-                record.proof_at = now.after(PROOF_AGAIN);
+            if (record.unverified || record.identity_check_due)
+                && now >= record.next_identity_check_at
+            {
+                record.identity_check_due = false;
+                record.next_identity_check_at = now.after(IDENTITY_CHECK_INTERVAL);
                 due.push((id.clone(), record.beat.address.clone()));
             }
         }
         due
     }
 
-    /// The endpoint answered an order: it is the one that was meant.
-    pub fn proven(&mut self, now: TimePoint, id: &IncarnationId) {
-        if let Some(record) = self.records.get_mut(id).filter(|record| record.unproven) {
-            record.unproven = false;
-            record.heard = now;
+    /// Records that the endpoint answered an order, which confirms its identity.
+    pub fn confirm_identity(&mut self, now: TimePoint, id: &IncarnationId) {
+        if let Some(record) = self.records.get_mut(id).filter(|record| record.unverified) {
+            record.unverified = false;
+            record.last_contact = now;
         }
     }
 
-    /// Takes an endpoint that an earlier leader knew, of which nothing was heard yet.
+    /// Adds an endpoint that an earlier leader knew and that this one has not heard from.
     pub fn inherit(&mut self, now: TimePoint, beat: EndpointBeat) {
         let mut record = HostRecord::new(now, beat);
-        record.probe_at = now;
+        record.next_probe_at = now;
         record.inherited = true;
-        // Earlier starts at its address may be inherited as well.
-        record.contested = true;
+        // Earlier incarnations at its address may be inherited as well.
+        record.address_contested = true;
         self.records.insert(record.beat.id.clone(), record);
     }
 
-    /// Whether every inherited endpoint that serves in groups has answered, or failed to.
-    pub fn is_surveyed(&self) -> bool {
+    /// Whether every inherited endpoint that serves in groups has answered or is lost.
+    pub fn is_discovery_complete(&self) -> bool {
         let awaited = |record: &HostRecord| record.inherited && record.serves_in_groups();
         self.records.values().all(|record| !awaited(record) || record.is_lost())
     }
 
-    /// Takes the answer to a probe, or that none came.
+    /// Records the answer to a probe, or `None` for a failure.
     pub fn probed(&mut self, now: TimePoint, id: &IncarnationId, report: Option<EndpointReport>) {
         let Some(record) = self.records.get_mut(id) else { return };
-        let asked = record.asked.take();
+        let probe_sent_at = record.probe_sent_at.take();
         match report {
             Some(report) => {
-                record.heard(now);
-                record.answered = Some(now);
-                record.probe_at = now.after(PROBE_EVERY);
+                record.record_contact(now);
+                record.last_answer_at = Some(now);
+                record.next_probe_at = now.after(PROBE_INTERVAL);
                 let domain = report.domain.clone().or(record.beat.report.domain.take());
                 record.beat.report = EndpointReport { domain, ..report };
                 let since = record.slow_since.unwrap_or(now);
                 record.slow_since = record.is_slow().then_some(since);
             }
-            // The silence of a question that was given up is known already, or was asked again.
-            None if asked.is_none() => {}
+            // The probe was given up before; its failure is already handled or another probe is in
+            // flight.
+            None if probe_sent_at.is_none() => {}
             None => {
                 record.failures += 1;
-                record.probe_at = if record.is_lost() { now.after(PROBE_LOST) } else { now };
+                record.next_probe_at =
+                    if record.is_lost() { now.after(LOST_PROBE_INTERVAL) } else { now };
             }
         }
     }
 
-    /// Nobody had time to read the answer to a probe: it is asked again.
+    /// Probes the endpoint again, since there was no time to read its answer.
     pub fn unread(&mut self, now: TimePoint, id: &IncarnationId) {
         if let Some(record) = self.records.get_mut(id) {
-            record.asked = None;
-            record.probe_at = now;
+            record.probe_sent_at = None;
+            record.next_probe_at = now;
         }
     }
 
-    /// Requests go to the endpoints of `zone` again.
+    /// Records that requests go to the endpoints of `zone` again.
     pub fn readmit(&mut self, now: TimePoint, zone: &ZoneName) {
         for record in self.records.values_mut().filter(|record| record.beat.zone == *zone) {
-            record.readmitted = Some(now);
+            record.readmitted_at = Some(now);
         }
     }
 
-    /// Asks for a probe of `id` as soon as possible.
+    /// Probes `id` as soon as possible.
     ///
-    /// This holds for hosts in no group as well: one that has left its group and whose beat was lost
-    /// stayed unused for two seconds, until its next beat.
+    /// This applies to hosts in no group as well: a host that had left its group and whose
+    /// heartbeat was lost stayed unused for two seconds, until its next heartbeat.
     pub fn probe_now(&mut self, now: TimePoint, id: &IncarnationId) {
         if let Some(record) = self.records.get_mut(id) {
-            record.probe_at = record.probe_at.min(now);
-            record.wanted = true;
+            record.next_probe_at = record.next_probe_at.min(now);
+            record.probe_requested = true;
         }
     }
 
-    /// Asks for a probe of `id`, a member of a group that an entry finds silent, unless it has just
-    /// answered one.
+    /// Probes `id`, a member of a group that an entry finds silent, unless it has just answered.
     pub fn probe_suspect(&mut self, now: TimePoint, id: &IncarnationId) {
         if let Some(record) = self.records.get_mut(id) {
-            let soonest = record.answered.map_or(now, |at| at.after(SUSPECT_EVERY)).max(now);
-            record.probe_at = record.probe_at.min(soonest);
-            record.wanted = true;
+            let soonest =
+                record.last_answer_at.map_or(now, |at| at.after(SUSPECT_PROBE_INTERVAL)).max(now);
+            record.next_probe_at = record.next_probe_at.min(soonest);
+            record.probe_requested = true;
             record.suspect = true;
         }
     }
 
-    /// Endpoints to be probed now, as many as may be under way; `in_group` tells which are watched closely.
-    /// Those that serve alone have no report: asked for one they answer nothing that reads, and counted as
-    /// silent.
+    /// Probes to send now, within the limit on probes in flight; `in_group` tells which endpoints
+    /// are group members.
+    ///
+    /// Endpoints that serve on their own are not probed: they provide no report, and a probe would
+    /// count as failed.
     pub fn due_probes(
         &mut self,
         now: TimePoint,
         in_group: impl Fn(&IncarnationId) -> bool,
     ) -> Vec<ProbeCall> {
-        let mut under_way = 0;
+        let mut in_flight = 0;
         let mut due: Vec<(TimePoint, &IncarnationId, &mut HostRecord)> = Vec::new();
         for (id, record) in self.records.iter_mut() {
-            let waits = record.asked.is_some_and(|at| now.since(at) < QUESTION_LOST);
-            under_way += usize::from(waits);
-            if !waits && now >= record.probe_at && record.is_watched(now, || in_group(id)) {
-                due.push((record.probe_at, id, record));
+            let is_pending = record.probe_sent_at.is_some_and(|at| now.since(at) < PROBE_TIMEOUT);
+            in_flight += usize::from(is_pending);
+            if !is_pending
+                && now >= record.next_probe_at
+                && record.needs_probe(now, || in_group(id))
+            {
+                due.push((record.next_probe_at, id, record));
             }
         }
-        // Those that have waited longest come first, or the last of many would never be asked.
+        // Longest wait first, or else the last of many would never be probed.
         due.sort_by_key(|(since, _, _)| *since);
-        due.truncate(PROBES_AT_ONCE.saturating_sub(under_way));
-        let ask = |(_, id, record): (TimePoint, &IncarnationId, &mut HostRecord)| {
-            let again = record.asked.replace(now).is_some();
-            let urgent = again || record.failures > 0 || record.suspect;
-            (record.wanted, record.suspect) = (false, false);
+        due.truncate(MAX_PROBES_IN_FLIGHT.saturating_sub(in_flight));
+        let probe_call = |(_, id, record): (TimePoint, &IncarnationId, &mut HostRecord)| {
+            let is_repeated = record.probe_sent_at.replace(now).is_some();
+            let urgent = is_repeated || record.failures > 0 || record.suspect;
+            (record.probe_requested, record.suspect) = (false, false);
             ProbeCall { id: id.clone(), address: record.beat.address.clone(), urgent }
         };
-        due.into_iter().map(ask).collect()
+        due.into_iter().map(probe_call).collect()
     }
 
-    /// Forgets endpoints that gave no sign of life for long.
+    /// Removes endpoints that have been silent for too long.
     pub fn prune(&mut self, now: TimePoint) {
-        self.records.retain(|_, record| now.since(record.heard) < FORGET_AFTER);
+        self.records.retain(|_, record| now.since(record.last_contact) < FORGET_AFTER);
     }
 
-    /// An order to stage a model was not answered, or refused: another one may follow soon.
+    /// Allows another staging order soon, since `order` was not answered or was refused.
     ///
-    /// The order may still be carried out seconds later; the same one is then done already.
-    /// Without this a host whose order was lost waited for three times the time of a load.
-    pub fn give_up_staging(&mut self, now: TimePoint, id: &IncarnationId, order: &EndpointOrder) {
+    /// The order may still be carried out seconds later; a repeated one then has no effect. Without
+    /// this, a host whose order was lost waited for three times the load time.
+    pub fn retry_staging_soon(
+        &mut self,
+        now: TimePoint,
+        id: &IncarnationId,
+        order: &EndpointOrder,
+    ) {
         let EndpointOrder::Stage { model } = order else { return };
         let Some(record) = self.records.get_mut(id) else { return };
         if record.staging.as_ref().is_some_and(|(staging, _)| staging == model) {
-            record.staging = Some((model.clone(), now.after(STAGE_AGAIN)));
+            record.staging = Some((model.clone(), now.after(STAGE_RETRY_DELAY)));
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &IncarnationId) {
         self.records.remove(id);
     }
 
-    /// The start that is known of the endpoint called `endpoint`.
-    pub fn start_of(&self, endpoint: &str) -> Option<&IncarnationId> {
+    /// Known incarnation of the endpoint named `endpoint`.
+    pub fn incarnation_of(&self, endpoint: &str) -> Option<&IncarnationId> {
         self.records.keys().find(|id| id.endpoint() == endpoint)
     }
 
-    /// The endpoint called `id`.
+    /// The endpoint with incarnation `id`.
     pub fn get(&self, id: &IncarnationId) -> Option<&HostRecord> {
         self.records.get(id)
     }
 
-    /// The endpoint called `id`, to change.
+    /// The endpoint with incarnation `id`, mutable.
     pub fn get_mut(&mut self, id: &IncarnationId) -> Option<&mut HostRecord> {
         self.records.get_mut(id)
     }
 
-    /// Every endpoint of `service`.
+    /// Endpoints of `service`.
     pub fn of_service<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -294,12 +314,12 @@
         self.records.iter().filter(move |(_, record)| record.beat.service == *service)
     }
 
-    /// Every endpoint, to change.
+    /// All endpoints, mutable.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&IncarnationId, &mut HostRecord)> {
         self.records.iter_mut()
     }
 
-    /// Every endpoint.
+    /// All endpoints.
     pub fn iter(&self) -> impl Iterator<Item = (&IncarnationId, &HostRecord)> {
         self.records.iter()
     }
--- a/crates/fleet/src/director/mod.rs
+++ b/crates/fleet/src/director/mod.rs
@@ -1,14 +1,14 @@
-//! How the leader knows endpoints, forms groups of them, mends them and stages weights ahead.
+//! The leader's view of endpoints, and the planning of groups and staged weights.
 //!
-//! [`FleetDirector`] is stepped: it is told beats, probe results, outcomes of orders and what
-//! entries see, and a step hands back orders, probes and commands for the log. It keeps only
-//! what can be learnt again: a new leader starts with an empty one, and beats fill it within a
-//! heartbeat.
+//! [`FleetDirector`] is a state machine. Its inputs are heartbeats, results of probes and orders,
+//! and reports of entries; a step returns orders, probes and commands for the log. It keeps only
+//! state that can be learnt again: a new leader starts with an empty one, and heartbeats fill it
+//! within one heartbeat interval.
 
-mod beat;
 mod demand;
 mod evacuation;
 mod group;
+mod heartbeat;
 mod host_record;
 mod hosts;
 mod loads;
@@ -18,12 +18,12 @@
 mod planning;
 mod pulse;
 mod records;
+mod stale_member;
 mod step;
-mod stray;
 mod view;
 
-pub use beat::{EndpointBeat, EndpointReport, GroupMark, MarkState};
 pub use demand::DemandBook;
+pub use heartbeat::{EndpointBeat, EndpointReport, GroupMark, MarkState};
 pub use host_record::HostRecord;
 pub use hosts::HostTable;
 pub use loads::LoadLimiter;
--- a/crates/fleet/src/director/order.rs
+++ b/crates/fleet/src/director/order.rs
@@ -1,59 +1,59 @@
-//! Orders to endpoints and what comes of them, and questions.
+//! Orders to endpoints, their outcomes, and probes.
 
 use briartray_model::names::{GroupId, IncarnationId};
 use briartray_model::{plain_choice, plain_value};
 
 plain_choice! {
-    /// What happens to the work of a group that closes.
+    /// How a group treats its running requests when it closes.
     pub enum CloseMethod {
-        /// It ends by itself.
+        /// They are completed.
         Wait,
-        /// It is cut off.
+        /// They are cut off.
         Truncate,
     }
 
-    /// What an endpoint made of an order.
+    /// Result of an order.
     pub enum OrderOutcome {
-        /// It began.
+        /// The endpoint started to carry it out.
         Begun,
-        /// The state was so already.
+        /// The endpoint was already in the requested state.
         Holds,
-        /// It does not fit the endpoint's state.
+        /// The order does not fit the endpoint's state.
         Misfit,
-        /// The endpoint has seen a later epoch or fencing number.
+        /// The endpoint has seen a later epoch or fencing token.
         Fenced,
-        /// Another endpoint has the address now.
+        /// Another incarnation has the address now.
         OtherEndpoint,
-        /// Nothing came back: it may be carried out at once, later or never.
+        /// No answer: the order may have been carried out, be carried out later, or never.
         Unknown,
     }
 }
 
 plain_value! {
-    /// One order.
+    /// An order to an endpoint.
     pub enum EndpointOrder {
-        /// Become part of a group.
+        /// Join a group.
         Join {
             /// The group.
             group: GroupId,
-            /// Model it will serve.
+            /// Model that the group serves.
             model: String,
-            /// Its members, the first host first.
+            /// Members of the group, the head first.
             members: Vec<IncarnationId>,
         },
-        /// Begin to serve.
+        /// Start to serve.
         Open {
             /// The group.
             group: GroupId,
         },
-        /// Take no new work.
+        /// Take no new requests.
         Close {
             /// The group.
             group: GroupId,
-            /// What happens to its work.
+            /// Treatment of running requests.
             method: CloseMethod,
         },
-        /// Be in no group.
+        /// Leave a group.
         Leave {
             /// The group.
             group: GroupId,
@@ -65,24 +65,24 @@
         },
     }
 
-    /// An order to be sent.
+    /// An order with its recipient.
     pub struct OrderCall {
         /// The endpoint.
         pub id: IncarnationId,
-        /// Where it listens.
+        /// Address of the endpoint.
         pub address: String,
         /// The order.
         pub order: EndpointOrder,
     }
 
-    /// A report to be asked for.
+    /// A probe with its recipient.
     pub struct ProbeCall {
         /// The endpoint.
         pub id: IncarnationId,
-        /// Where it listens.
+        /// Address of the endpoint.
         pub address: String,
-        /// Whether something may be wrong with it: a question before was not answered, or its group is
-        /// found silent.
+        /// Whether a failure is suspected: an earlier probe had no answer, or the group is found
+        /// silent.
         pub urgent: bool,
     }
 }
--- a/crates/fleet/src/director/order_window.rs
+++ b/crates/fleet/src/director/order_window.rs
@@ -1,44 +1,44 @@
-//! How many orders are under way at one time.
+//! Limit on the orders in flight.
 //!
-//! Load pattern: thousands of endpoints start together, and each is told to join its group. Given all at
-//! once, none was answered in its time, since their answers waited for each other; each was given again,
-//! and the leader did nothing else for as long as it led.
+//! Load pattern: thousands of endpoints start together, and each is ordered to join its group. When
+//! all orders were sent at once, the answers queued up behind each other and all orders timed out;
+//! each was sent again, and the leader did nothing else for the rest of its term.
 
 use std::time::Duration;
 
 use briartray_model::TimePoint;
 
-/// Orders under way at one time.
-const ORDERS_AT_ONCE: usize = 128;
+/// Limit on orders in flight.
+const MAX_ORDERS_IN_FLIGHT: usize = 128;
 
-/// Time after which an order counts as answered: its outcome is known within a quarter of a second, unless
-/// the note of it found no room.
-const OUTCOME_LOST: Duration = Duration::from_secs(1);
+/// Time after which an order no longer counts as in flight. Its outcome is known within a quarter
+/// of a second, unless the queue was full and dropped it.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Counts orders that are under way.
+/// Counts orders in flight.
 #[derive(Debug, Clone, Default)]
 pub(super) struct OrderWindow {
-    /// When each was given, the oldest first.
-    given: Vec<TimePoint>,
+    /// When each order was sent, the oldest first.
+    sent_at: Vec<TimePoint>,
 }
 
 impl OrderWindow {
-    /// Orders that may be given now.
-    pub(super) fn room(&mut self, now: TimePoint) -> usize {
-        let lost = self.given.partition_point(|at| now.since(*at) >= OUTCOME_LOST);
-        self.given.drain(..lost);
-        ORDERS_AT_ONCE.saturating_sub(self.given.len())
+    /// Number of orders that may be sent now.
+    pub(super) fn capacity(&mut self, now: TimePoint) -> usize {
+        let expired = self.sent_at.partition_point(|at| now.since(*at) >= ORDER_TIMEOUT);
+        self.sent_at.drain(..expired);
+        MAX_ORDERS_IN_FLIGHT.saturating_sub(self.sent_at.len())
     }
 
-    /// Counts `orders` that are given now.
-    pub(super) fn give(&mut self, now: TimePoint, orders: usize) {
-        self.given.extend(std::iter::repeat_n(now, orders));
+    /// Records `orders` orders as sent now.
+    pub(super) fn record_sent(&mut self, now: TimePoint, orders: usize) {
+        self.sent_at.extend(std::iter::repeat_n(now, orders));
     }
 
-    /// Counts one that was answered, or not.
-    pub(super) fn end(&mut self) {
-        if !self.given.is_empty() {
-            self.given.remove(0);
+    /// Records the end of one order, answered or not.
+    pub(super) fn record_finished(&mut self) {
+        if !self.sent_at.is_empty() {
+            self.sent_at.remove(0);
         }
     }
 }
--- a/crates/fleet/src/director/plan/mod.rs
+++ b/crates/fleet/src/director/plan/mod.rs
@@ -1,12 +1,11 @@
-//! Which groups to form of the hosts, and which weights to keep where.
+//! Planning of groups and staged weights.
 //!
-//! Loading a model takes ten times as long as joining where its weights are. A host has weights in
-//! two places: those of its last group are warm in its accelerators, and it keeps others staged
-//! beside them. So hosts that serve one model are given the weights of another one to keep, and
-//! whichever model loses a host finds the next one among all hosts of the domain. Where each host kept
-//! its own model only, a large group that lost two hosts would wait for a load with the rest of its
-//! hosts idle. Hosts of one group share a fabric domain: across domains a group runs several times
-//! slower.
+//! Loading a model takes ten times as long as joining a group with staged weights. A host has
+//! weights in two places: those of its last group are warm in its accelerators, and others are
+//! staged on the host. So hosts that serve one model stage the weights of another, and whichever
+//! model loses a host finds a replacement among all hosts of the domain. If each host kept its own
+//! model only, a large group that lost two hosts would wait for a load with the rest of its hosts
+//! idle. Hosts of one group share a fabric domain: across domains a group is several times slower.
 
 mod form;
 mod host;
@@ -24,28 +23,29 @@
 use crate::deployment::ModelSpec;
 use crate::state::GroupRecord;
 
-/// Part of a group that may be lacking for one more to be formed. Spares would be used up for halves
-/// of groups, and the next loss would wait for a spare; hosts would go to and fro between models.
-const ROUND_UP: f64 = 0.2;
+/// Largest fraction by which the wanted number of groups is rounded up. With more, spares would be
+/// used up for groups that are only half wanted, the next loss would wait for a spare, and hosts
+/// would move back and forth between models.
+const ROUND_UP_FRACTION: f64 = 0.2;
 
-/// Free hosts that each domain keeps to mend its groups, beyond groups that callers need: a dead member is
-/// replaced at once, also where orders get lost.
-const SPARES_KEPT: usize = 1;
+/// Free hosts that each domain keeps for repairs, beyond the groups that callers need: a dead
+/// member is replaced at once, even where orders get lost.
+const SPARES_PER_DOMAIN: usize = 1;
 
-/// Number of a group that the log has not named yet.
-const UNNAMED: GroupId = GroupId(u64::MAX);
+/// Id of a group that the log has not assigned yet.
+const PENDING_GROUP: GroupId = GroupId(u64::MAX);
 
-/// Plans groups of one service.
+/// Plans the groups of one service.
 #[derive(Debug, Clone)]
 pub struct GroupPlanner<'a> {
     view: PlanView<'a>,
-    /// Groups of each model that should serve; the actions of one step hardly change it.
+    /// Wanted number of groups of each model; the actions of one step hardly change it.
     wanted: Vec<f64>,
-    /// Positions of free hosts by domain: each domain is asked for its own several times for an action.
+    /// Positions of free hosts by domain; one action looks them up several times for each domain.
     free: DomainPositions,
-    /// Positions of hosts that are being told to leave, by domain.
+    /// Positions of hosts that are ordered to leave, by domain.
     leaving: DomainPositions,
-    /// Positions of hosts whose groups are about to end, by domain.
+    /// Positions of hosts whose groups are ending, by domain.
     closing: DomainPositions,
 }
 
@@ -53,7 +53,7 @@
 type DomainPositions = SortedTable<DomainName, Vec<usize>>;
 
 impl<'a> GroupPlanner<'a> {
-    /// A planner for what `view` shows.
+    /// Creates a planner for `view`.
     pub fn new(view: PlanView<'a>) -> Self {
         let [free, leaving, closing] =
             [&view.free, &view.leaving, &view.closing].map(|hosts| by_domain(hosts));
@@ -62,33 +62,34 @@
         planner
     }
 
-    /// The next action, the most urgent one; `None` when nothing is to be done.
+    /// Next action, the most urgent first; `None` when nothing is to be done.
     pub fn next(&self) -> Option<PlanAction> {
         let wanted = &self.wanted;
         self.form_missing(wanted)
             .or_else(|| self.replace_slow())
             .or_else(|| self.rebalance(wanted))
             .or_else(|| self.form_further(wanted))
-            .or_else(|| self.warm_up())
+            .or_else(|| self.warm_up_spare())
             .or_else(|| self.stage(wanted))
     }
 
-    /// Brings the view up to date with an action that was begun, so that the next one builds on it.
-    pub fn carry_out(&mut self, action: PlanAction) {
+    /// Applies a started action to the view, so that the next one builds on it.
+    pub fn apply(&mut self, action: PlanAction) {
         match action {
-            PlanAction::Form { group, .. } => self.place(&group),
+            PlanAction::Form { group, .. } => self.add_group(&group),
             PlanAction::Stage { host, model } => {
                 self.view.loading += 1;
                 if let Some(host) = self.host_mut(&host) {
                     host.staging = Some(model);
                 }
             }
-            PlanAction::End(group) => self.vacate(group),
+            PlanAction::End(group) => self.remove_group(group),
         }
     }
 
-    /// Takes the members of `group` out of the free hosts, unless it is a standby group.
-    fn place(&mut self, group: &GroupRecord) {
+    /// Moves the members of `group` from the free hosts to its groups; a standby group keeps them
+    /// free.
+    fn add_group(&mut self, group: &GroupRecord) {
         if group.standby {
             for member in &group.members {
                 if let Some(host) = self.host_mut(&member.id) {
@@ -103,12 +104,12 @@
         self.free = by_domain(&self.view.free);
         let index = self.models().iter().position(|model| model.name == group.model);
         if let Some(groups) = index.and_then(|index| self.view.groups.get_mut(index)) {
-            groups.push(PlacedGroup { group: UNNAMED, domain: group.domain.clone(), hosts });
+            groups.push(PlacedGroup { group: PENDING_GROUP, domain: group.domain.clone(), hosts });
         }
     }
 
-    /// Takes `group` out of those that serve; its hosts are free in a while.
-    fn vacate(&mut self, group: GroupId) {
+    /// Removes `group` from the serving groups; its hosts become free later.
+    fn remove_group(&mut self, group: GroupId) {
         for groups in &mut self.view.groups {
             for ended in groups.extract_if(.., |placed| placed.group == group) {
                 self.view.closing.extend(ended.hosts);
@@ -123,47 +124,48 @@
         self.view.free.iter_mut().chain(grouped).find(|host| host.id == *id)
     }
 
-    /// What decides, in a few words: groups wanted of each model, and how far demand is believed.
+    /// Inputs of the plan as one line for the log: wanted groups of each model, hosts, and trust in
+    /// the demand.
     pub fn summary(&self) -> String {
-        let tell = |(model, wanted): (&ModelSpec, &f64)| format!("{} {wanted:.1}", model.name);
-        let wanted: Vec<String> = self.models().iter().zip(&self.wanted).map(tell).collect();
-        let (hosts, trust) = (self.packed_hosts(), self.view.trust);
+        let describe = |(model, wanted): (&ModelSpec, &f64)| format!("{} {wanted:.1}", model.name);
+        let wanted: Vec<String> = self.models().iter().zip(&self.wanted).map(describe).collect();
+        let (hosts, trust) = (self.groupable_hosts(), self.view.trust);
         format!("wanted {} on {hosts} hosts, trust {trust:.1}", wanted.join(" "))
     }
 
-    /// Models by how much they lack, the one that lacks most first.
-    fn by_lack(&self, wanted: &[f64]) -> Vec<usize> {
+    /// Indices of the models, the largest shortage first.
+    fn by_shortage(&self, wanted: &[f64]) -> Vec<usize> {
         let models = &self.view.engine.models;
         let mut order: Vec<usize> = (0..models.len()).collect();
         order.sort_by(|a, b| {
-            // At the start the large groups come first: small ones find room between them.
+            // On a first start large groups come first: small ones fit in between.
             let size = models[*b].size.cmp(&models[*a].size);
-            let lack = self.filled(*a, wanted).total_cmp(&self.filled(*b, wanted));
-            if self.view.serving { lack.then(size) } else { size.then(lack) }
+            let shortage = self.coverage(*a, wanted).total_cmp(&self.coverage(*b, wanted));
+            if self.view.serving { shortage.then(size) } else { size.then(shortage) }
         });
         order
     }
 
-    /// Groups of the model at `index`, as a part of those wanted.
-    fn filled(&self, index: usize, wanted: &[f64]) -> f64 {
-        part_of(self.view.groups[index].len(), wanted[index])
+    /// Groups of the model at `index` in proportion to the wanted number.
+    fn coverage(&self, index: usize, wanted: &[f64]) -> f64 {
+        coverage_ratio(self.view.groups[index].len(), wanted[index])
     }
 
     /// Whether the model at `index` has fewer groups than callers need.
-    fn lacks(&self, index: usize, wanted: &[f64]) -> bool {
+    fn is_short(&self, index: usize, wanted: &[f64]) -> bool {
         self.view.groups[index].len() < whole_groups(wanted[index])
     }
 
-    /// A model that no group serves although callers ask.
-    fn starved(&self) -> Option<usize> {
+    /// Index of a model that no group serves although callers send requests.
+    fn unserved_model(&self) -> Option<usize> {
         if !self.view.serving {
             return None;
         }
         (0..self.view.groups.len()).find(|index| self.view.groups[*index].is_empty())
     }
 
-    /// Free hosts of `domain` that can serve `model`, or will when their load is over.
-    fn held(&self, domain: &DomainName, model: &ModelSpec) -> usize {
+    /// Free hosts of `domain` that can join a group of `model`, now or after their current load.
+    fn joinable_count(&self, domain: &DomainName, model: &ModelSpec) -> usize {
         self.free_in(domain).iter().filter(|host| host.will_join(&model.name)).count()
     }
 
@@ -177,22 +179,22 @@
     }
 
     /// Hosts in groups that serve or form.
-    fn grouped(&self) -> impl Iterator<Item = &PoolHost> {
+    fn grouped_hosts(&self) -> impl Iterator<Item = &PoolHost> {
         self.view.groups.iter().flatten().flat_map(|group| &group.hosts)
     }
 
-    fn every_host(&self) -> impl Iterator<Item = &PoolHost> {
-        self.view.free.iter().chain(self.coming()).chain(self.grouped())
+    fn all_hosts(&self) -> impl Iterator<Item = &PoolHost> {
+        self.view.free.iter().chain(self.soon_free()).chain(self.grouped_hosts())
     }
 
-    /// Hosts of `domain` that are not free yet and will be.
-    fn coming_in(&self, domain: &DomainName) -> impl Iterator<Item = &PoolHost> {
+    /// Hosts of `domain` that are about to become free.
+    fn soon_free_in(&self, domain: &DomainName) -> impl Iterator<Item = &PoolHost> {
         let leaving = at_positions(&self.view.leaving, &self.leaving, domain);
         leaving.chain(at_positions(&self.view.closing, &self.closing, domain))
     }
 
-    /// Hosts that are not free yet and will be.
-    fn coming(&self) -> impl Iterator<Item = &PoolHost> {
+    /// Hosts that are about to become free.
+    fn soon_free(&self) -> impl Iterator<Item = &PoolHost> {
         self.view.leaving.iter().chain(&self.view.closing)
     }
 
@@ -201,14 +203,14 @@
     }
 }
 
-/// `groups` as a part of what is `wanted`; no model is wanted less than one group.
-fn part_of(groups: usize, wanted: f64) -> f64 {
+/// `groups` in proportion to the `wanted` number, which counts as at least one.
+fn coverage_ratio(groups: usize, wanted: f64) -> f64 {
     groups as f64 / wanted.max(1.0)
 }
 
-/// Whole groups for what is `wanted`.
+/// Number of whole groups for the `wanted` number; at least one.
 fn whole_groups(wanted: f64) -> usize {
-    ((wanted + ROUND_UP).floor() as usize).max(1)
+    ((wanted + ROUND_UP_FRACTION).floor() as usize).max(1)
 }
 
 fn domains_of<'h>(hosts: impl Iterator<Item = &'h PoolHost>) -> Vec<DomainName> {
@@ -231,7 +233,7 @@
     positions
 }
 
-/// The hosts of `domain` among `hosts`, in their order.
+/// Hosts of `domain` in `hosts`, in their order.
 fn at_positions<'h>(
     hosts: &'h [PoolHost],
     positions: &'h DomainPositions,
--- a/crates/fleet/src/director/plan/view.rs
+++ b/crates/fleet/src/director/plan/view.rs
@@ -1,4 +1,4 @@
-//! What the planner is shown, and what it may want.
+//! Input and actions of the planner.
 
 use briartray_model::names::{GroupId, IncarnationId, ServiceName};
 
@@ -7,46 +7,49 @@
 use crate::message::WorkSum;
 use crate::state::GroupRecord;
 
-/// What the planner looks at, for one service.
+/// Input of the planner for one service.
 #[derive(Debug, Clone)]
 pub struct PlanView<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// Its engine.
     pub engine: &'a EngineModel,
-    /// Hosts in no group that serves.
+    /// Hosts in no serving group.
     pub free: Vec<PoolHost>,
-    /// Hosts that are being told to leave a group which has ended: free in a moment.
+    /// Hosts that are ordered to leave an ended group: free in a moment.
     pub leaving: Vec<PoolHost>,
-    /// Hosts of groups that are about to end, when what runs there has ended.
+    /// Hosts of groups that are about to end: free once running requests are completed.
     pub closing: Vec<PoolHost>,
     /// Groups that serve or form, by model in the order of the engine's models.
     pub groups: Vec<Vec<PlacedGroup>>,
-    /// What callers ask for in a second, by model.
+    /// Demand per second, by model.
     pub demand: Vec<WorkSum>,
-    /// How much of the demand is believed, 0 to 1; the shares below count for the rest.
+    /// Weight of the measured demand, 0 to 1; the declared or inherited `shares` count for the
+    /// rest.
     pub trust: f64,
-    /// Share of each model in the work as far as it is not known from the demand.
+    /// Share of each model in the work, used as far as the demand is not trusted.
     pub shares: Vec<f64>,
-    /// Loads that are under way.
+    /// Number of loads that are running.
     pub loading: usize,
-    /// Domains known so far, while hosts are still heard for the first time.
-    pub gathering: Option<usize>,
-    /// Whether callers have begun to ask: before that, loads cost a tenth of their time.
+    /// Number of domains known so far on a first start, while new hosts may still appear; `None`
+    /// later.
+    pub first_start_domains: Option<usize>,
+    /// Whether callers send requests: before that, loads take a tenth of their time.
     pub serving: bool,
 }
 
-/// What to do.
+/// An action of the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanAction {
-    /// Form a group; `loads` of its members have to load the weights first.
+    /// Form a group.
     Form {
         /// The group.
         group: GroupRecord,
-        /// Members without the weights.
+        /// Members that have to load the weights first.
         loads: usize,
     },
-    /// Let a group end in peace, so that its hosts can serve a model that lacks more.
+    /// Let a group complete its requests and end, so that its hosts can serve a model with a larger
+    /// shortage.
     End(GroupId),
     /// Stage a model on a host.
     Stage {
@@ -58,7 +61,7 @@
 }
 
 impl PlanAction {
-    /// Whether it only makes ready for later losses.
+    /// Whether the action only prepares for later losses.
     pub fn only_prepares(&self) -> bool {
         match self {
             Self::Form { group, .. } => group.standby,
--- a/crates/fleet/src/director/plan/wanted.rs
+++ b/crates/fleet/src/director/plan/wanted.rs
@@ -1,76 +1,78 @@
-//! How many groups of each model should serve.
+//! Wanted number of groups of each model.
 
 use briartray_model::SortedTable;
 use briartray_model::names::DomainName;
 
-use super::{GroupPlanner, PoolHost, SPARES_KEPT, lateness};
+use super::{GroupPlanner, PoolHost, SPARES_PER_DOMAIN, lateness};
 use crate::deployment::ModelSpec;
 
-/// Part of its time that a group is busy at the least before further ones are of no use.
-const LEAST_BUSY: f64 = 0.5;
+/// Utilization below which further groups of a model are of no use.
+const MIN_UTILIZATION: f64 = 0.5;
 
 impl GroupPlanner<'_> {
-    /// Groups of each model that should serve: all hosts but some spares, split so that the fewest
-    /// callers are late; by the given shares as far as the demand is not believed yet.
+    /// Wanted groups of each model: all hosts but some spares, split so that the fewest answers are
+    /// late; as far as the demand is not trusted, by the given shares.
     ///
-    /// The split counts, not the sum: with as many groups as the sum asks for, two models that both
-    /// lacked hosts took them from each other, and hosts were idle while a burst began.
+    /// The split matters, not the sum: when only as many groups were wanted as the demand needs in
+    /// total, two models with a shortage took hosts from each other, and hosts were idle at the
+    /// start of a burst.
     pub(super) fn wanted_groups(&self) -> Vec<f64> {
         let models = self.models();
         let work: Vec<f64> = models
             .iter()
             .zip(&self.view.demand)
-            .map(|(model, asked)| asked.work_ms / 1e3 * model.size as f64)
+            .map(|(model, measured)| measured.work_ms / 1e3 * model.size as f64)
             .collect();
         let all: f64 = work.iter().sum();
         let trust = if all > 0.0 { self.view.trust } else { 0.0 };
-        let hosts = self.grouped_hosts(all, trust);
-        let asked = match lateness::split(self.view.engine, &self.view.demand, hosts) {
+        let hosts = self.target_hosts(all, trust);
+        let measured = match lateness::split_hosts(self.view.engine, &self.view.demand, hosts) {
             Some(groups) => groups,
-            None => groups_of(&normalized(&work), models, hosts),
+            None => group_counts(&normalized(&work), models, hosts),
         };
-        let given = groups_of(&normalized(&self.view.shares), models, hosts);
-        let pairs = asked.into_iter().zip(given);
-        pairs.map(|(asked, given)| asked * trust + given * (1.0 - trust)).collect()
+        let declared = group_counts(&normalized(&self.view.shares), models, hosts);
+        let pairs = measured.into_iter().zip(declared);
+        pairs.map(|(measured, declared)| measured * trust + declared * (1.0 - trust)).collect()
     }
 
-    /// Hosts that should serve when callers ask for `work` hosts kept busy.
-    fn grouped_hosts(&self, work: f64, trust: f64) -> f64 {
-        let most = self.packed_hosts() as f64;
-        let useful = work / LEAST_BUSY;
+    /// Number of hosts that should serve when the demand keeps `work` hosts busy.
+    fn target_hosts(&self, work: f64, trust: f64) -> f64 {
+        let most = self.groupable_hosts() as f64;
+        let useful = work / MIN_UTILIZATION;
         if trust < 1.0 { most } else { most.min(useful) }
     }
 
-    /// Hosts that groups can hold beside the spares of their domains, in whole groups of the smallest
-    /// size; groups that hold more already count whole.
+    /// Number of hosts that groups can hold besides the spares of their domains, in whole groups of
+    /// the smallest size; a domain whose groups hold more counts with these.
     ///
-    /// What a domain has over makes no group. Counted in, more groups of every model were wanted than
-    /// there could be, and the model that lacked the larger part of them got none of the other's hosts.
-    pub(super) fn packed_hosts(&self) -> usize {
+    /// The remainder of a domain makes no group. When it was counted, more groups of every model
+    /// were wanted than could exist, and the model that lacked more of them got no hosts of the
+    /// other one.
+    pub(super) fn groupable_hosts(&self) -> usize {
         let smallest = self.models().iter().map(|model| model.size).min().unwrap_or(1).max(1);
         let able = |host: &&PoolHost| !host.slow && (!self.view.serving || host.has_weights());
         let mut hosts = SortedTable::new();
-        for host in self.every_host().filter(able) {
+        for host in self.all_hosts().filter(able) {
             *hosts.get_or_insert_with(&host.domain, || 0_usize) += 1;
         }
         let mut grouped = SortedTable::new();
-        for host in self.grouped() {
+        for host in self.grouped_hosts() {
             *grouped.get_or_insert_with(&host.domain, || 0_usize) += 1;
         }
-        let held = |(domain, hosts): (&&DomainName, &usize)| {
-            let whole = hosts.saturating_sub(SPARES_KEPT) / smallest * smallest;
+        let groupable = |(domain, hosts): (&&DomainName, &usize)| {
+            let whole = hosts.saturating_sub(SPARES_PER_DOMAIN) / smallest * smallest;
             whole.max(grouped.get(domain).copied().unwrap_or(0))
         };
-        hosts.iter().map(held).sum()
+        hosts.iter().map(groupable).sum()
     }
 }
 
-/// Groups of each model that its part of `hosts` makes.
-fn groups_of(parts: &[f64], models: &[ModelSpec], hosts: f64) -> Vec<f64> {
+/// Number of groups of each model that its part of `hosts` makes.
+fn group_counts(parts: &[f64], models: &[ModelSpec], hosts: f64) -> Vec<f64> {
     parts.iter().zip(models).map(|(part, model)| part * hosts / model.size as f64).collect()
 }
 
-/// `parts` of a whole; equal ones when all are nothing.
+/// `parts` as fractions of their sum; equal fractions when all are zero.
 fn normalized(parts: &[f64]) -> Vec<f64> {
     let sum: f64 = parts.iter().sum();
     let equal = 1.0 / parts.len().max(1) as f64;
--- a/crates/fleet/src/director/planning.rs
+++ b/crates/fleet/src/director/planning.rs
@@ -1,4 +1,4 @@
-//! What the planner is shown, and carrying out what it wants.
+//! Input for the planner, and the execution of its actions.
 
 use std::time::Duration;
 
@@ -8,42 +8,42 @@
 use super::evacuation::is_evacuated;
 use super::loads::LoadLimiter;
 use super::plan::{GroupPlanner, PlacedGroup, PlanAction, PlanView, PoolHost};
-use super::step::{DirectorOutput, LOAD_PATIENCE};
-use super::stray;
+use super::stale_member;
+use super::step::{DirectorOutput, LOAD_TIMEOUT_FACTOR};
 use super::{EndpointOrder, FleetDirector, HostRecord, MarkState, OrderCall};
 use crate::deployment::{EngineModel, ModelSpec, ServiceSpec};
 use crate::state::{FleetCommand, FleetState, GroupHost, GroupRecord, MemberIndex};
 
-/// Time after a first start before weights are staged on hosts that are left over.
-const GATHER: Duration = Duration::from_millis(3_500);
+/// Time after a first start before weights are staged on leftover hosts.
+const FIRST_START_TIME: Duration = Duration::from_millis(3_500);
 
-/// Time for which a host is slow before its group is formed anew without it: by then the reports of
-/// all others have told whether they are slow as well.
-const SLOW_FOR: Duration = Duration::from_millis(1_200);
+/// Time for which a host must be slow before its group is formed anew without it: by then the
+/// reports of all other hosts show whether they are slow too.
+const SLOW_CONFIRM_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time for which a host that was heard for the first time keeps the weights it has.
-const FRESH: Duration = Duration::from_millis(2_500);
+/// Time for which a newly seen host keeps the weights that it has.
+const NEW_HOST_TIME: Duration = Duration::from_millis(2_500);
 
-/// Actions planned in one step at the most: commands of one step share a sync of the disks, and a
-/// fleet's first groups and loads have to be ordered before callers come.
-const PLANS_PER_STEP: usize = 32;
+/// Limit on actions per step. Commands of one step share a disk sync, and the first groups and
+/// loads of a fleet have to be ordered before callers send requests.
+const MAX_ACTIONS_PER_STEP: usize = 32;
 
-/// Spares that are warmed up in one step at the most, before callers come.
-const SPARES_PER_STEP: usize = 32;
+/// Limit on spares that are warmed up per step before callers send requests.
+const MAX_WARMUPS_PER_STEP: usize = 32;
 
-/// Loads that begin in one step at the most, before callers come.
-const STAGES_PER_STEP: usize = 64;
+/// Limit on loads that start per step before callers send requests.
+const MAX_LOADS_PER_STEP: usize = 64;
 
-/// Hosts that the planner looks at in one step, over all its actions. An action costs the more the more
-/// hosts there are, and a step that takes long holds up heartbeats, of which a leader sends ten a second.
-const HOSTS_PER_STEP: usize = 16_000;
+/// Limit on hosts that the planner examines per step, over all actions. The cost of an action grows
+/// with the number of hosts, and a long step delays the leader's log heartbeats, ten a second.
+const HOST_BUDGET_PER_STEP: usize = 16_000;
 
-/// Wait for each host before the planner looks again although nothing was learnt: only time has passed,
-/// and a look at thousands of hosts takes a good part of the time between two steps.
-const LOOK_AGAIN: Duration = Duration::from_micros(150);
+/// Time, per host, before the planner runs again without new information. Only time has passed
+/// then, and planning for thousands of hosts takes a good part of the time between two steps.
+const REPLAN_INTERVAL_PER_HOST: Duration = Duration::from_micros(150);
 
 impl FleetDirector {
-    /// Plans some actions, each on what the ones before it leave.
+    /// Plans and starts actions, each on the state that the previous ones leave.
     pub(super) fn plan_groups(
         &mut self,
         now: TimePoint,
@@ -54,11 +54,11 @@
     ) {
         let hosts = self.hosts.of_service(&service.name).count().max(1);
         let mut planner = GroupPlanner::new(self.plan_view(now, state, &service.name, engine));
-        self.plan_note = planner.summary();
-        for _ in 0..(HOSTS_PER_STEP / hosts).clamp(1, PLANS_PER_STEP) {
+        self.plan_summary = planner.summary();
+        for _ in 0..(HOST_BUDGET_PER_STEP / hosts).clamp(1, MAX_ACTIONS_PER_STEP) {
             let Some(action) = planner.next() else { return };
             let prepares = action.only_prepares();
-            if !self.begin_planned(now, engine, action, &mut planner, output) {
+            if !self.try_action(now, engine, action, &mut planner, output) {
                 return;
             }
             if prepares && !self.serving {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Warms up spares and stages weights, many at once: nothing else is left to plan, and callers have not
-    /// come yet.
+    /// Warms up spares and stages weights, many at once: nothing else is left to plan, and callers
+    /// have not sent requests yet.
     fn prepare(
         &mut self,
         now: TimePoint,
@@ -76,18 +76,18 @@
         planner: &mut GroupPlanner<'_>,
         output: &mut DirectorOutput,
     ) {
-        for action in planner.early_spares(SPARES_PER_STEP) {
-            self.begin_planned(now, engine, action, planner, output);
+        for action in planner.early_spares(MAX_WARMUPS_PER_STEP) {
+            self.try_action(now, engine, action, planner, output);
         }
-        for action in planner.early_loads(STAGES_PER_STEP) {
-            if !self.begin_planned(now, engine, action, planner, output) {
+        for action in planner.early_loads(MAX_LOADS_PER_STEP) {
+            if !self.try_action(now, engine, action, planner, output) {
                 return;
             }
         }
     }
 
-    /// Begins `action` and brings the planner's view up to date with it; `false` when it has to wait.
-    fn begin_planned(
+    /// Starts `action` and applies it to the planner's view; `false` when it has to wait.
+    fn try_action(
         &mut self,
         now: TimePoint,
         engine: &EngineModel,
@@ -95,26 +95,26 @@
         planner: &mut GroupPlanner<'_>,
         output: &mut DirectorOutput,
     ) -> bool {
-        let begun = self.begin_action(now, engine, &action, output);
-        if begun {
-            self.news = true;
-            planner.carry_out(action);
+        let started = self.start_action(now, engine, &action, output);
+        if started {
+            self.replan_needed = true;
+            planner.apply(action);
         }
-        begun
+        started
     }
 
-    /// Whether the planner is to look: something was learnt, or it has not looked for a while.
+    /// Whether the planner is to run: there is new information, or its last run is long enough ago.
     pub(super) fn is_plan_due(&mut self, now: TimePoint) -> bool {
-        let due = std::mem::take(&mut self.news) || now >= self.look_at;
+        let due = std::mem::take(&mut self.replan_needed) || now >= self.next_plan_at;
         if due {
             let hosts = u32::try_from(self.hosts.iter().count()).unwrap_or(u32::MAX);
-            self.look_at = now.after(LOOK_AGAIN * hosts);
+            self.next_plan_at = now.after(REPLAN_INTERVAL_PER_HOST * hosts);
         }
         due
     }
 
-    /// Begins what the planner wants; `false` when it has to wait.
-    fn begin_action(
+    /// Starts `action`; `false` when it has to wait.
+    fn start_action(
         &mut self,
         now: TimePoint,
         engine: &EngineModel,
@@ -123,37 +123,37 @@
     ) -> bool {
         match action {
             PlanAction::Form { group, loads } => {
-                // The first groups are formed long before callers come.
+                // The first groups are formed long before callers send requests.
                 if self.serving && !self.may_load(now, engine, *loads) {
                     return false;
                 }
-                self.loads.begin(now, if self.serving { *loads } else { 0 });
+                self.loads.record_starts(now, if self.serving { *loads } else { 0 });
                 output.commands.push(FleetCommand::FormGroup(group.clone()));
             }
             PlanAction::Stage { host, model } => {
-                // Hosts that are heard late would else find no partners for a group.
-                let gathers = !self.serving && self.is_gathering(now);
-                if gathers || !self.may_load(now, engine, 1) {
+                // Otherwise hosts that are heard from late would find no partners for a group.
+                let is_too_early = !self.serving && self.is_first_start(now);
+                if is_too_early || !self.may_load(now, engine, 1) {
                     return false;
                 }
-                self.loads.begin(now, 1);
+                self.loads.record_starts(now, 1);
                 self.stage(now, engine, host, model.clone(), output);
             }
             PlanAction::End(group) => {
-                let Some(run) = self.runs.get_mut(group) else { return false };
-                run.ending = Some(now);
+                let Some(tracker) = self.trackers.get_mut(group) else { return false };
+                tracker.ending_since = Some(now);
             }
         }
         true
     }
 
-    /// Hosts that load weights.
-    fn staging_now(&self) -> usize {
+    /// Number of hosts that load weights.
+    fn staging_count(&self) -> usize {
         let loads = |host: &HostRecord| host.staging.is_some() && !host.is_lost();
         self.hosts.iter().filter(|(_, host)| loads(host)).count()
     }
 
-    /// Fabric domains that hosts of `service` were heard from.
+    /// Number of fabric domains known for `service`.
     fn domains(&self, service: &ServiceName) -> usize {
         let domain = |host: &HostRecord| host.beat.report.domain.clone();
         let mut domains: Vec<DomainName> =
@@ -163,18 +163,18 @@
         domains.len()
     }
 
-    /// Whether hosts may still be heard for the first time after a first start.
-    fn is_gathering(&self, now: TimePoint) -> bool {
-        !self.inherits && now.since(self.since) < GATHER
+    /// Whether this is a first start on which new hosts may still appear.
+    fn is_first_start(&self, now: TimePoint) -> bool {
+        !self.took_over && now.since(self.since) < FIRST_START_TIME
     }
 
     fn may_load(&self, now: TimePoint, engine: &EngineModel, loads: usize) -> bool {
-        let may = || self.loads.may_begin(now, engine.loads_per_second, loads, self.serving);
+        let may = || self.loads.may_start(now, engine.loads_per_second, loads, self.serving);
         loads == 0 || may()
     }
 
-    /// Takes the loads that an earlier leader has ordered into account: a store of its own for each leader
-    /// began three times as many as it may where two leaders were lost while hosts loaded.
+    /// Counts the loads that an earlier leader ordered. When each leader counted only its own,
+    /// three times the allowed number started after two leaders were lost while hosts loaded.
     pub(super) fn inherit_loads(&mut self, now: TimePoint) {
         let loads = |host: &HostRecord| staging_of(host).is_some() && !host.is_lost();
         let count = self.hosts.iter().filter(|(_, host)| loads(host)).count();
@@ -191,7 +191,7 @@
     ) {
         let time = engine.model(&model).map_or(Duration::ZERO, |spec| spec.load_time);
         let Some(host) = self.hosts.get_mut(id) else { return };
-        host.staging = Some((model.clone(), now.after(time * LOAD_PATIENCE)));
+        host.staging = Some((model.clone(), now.after(time * LOAD_TIMEOUT_FACTOR)));
         let (id, address) = (id.clone(), host.beat.address.clone());
         output.orders.push(OrderCall { id, address, order: EndpointOrder::Stage { model } });
     }
@@ -203,13 +203,13 @@
         service: &'a ServiceName,
         engine: &'a EngineModel,
     ) -> PlanView<'a> {
-        self.settle_staging(now);
+        self.clear_finished_staging(now);
         let index = MemberIndex::new(state);
         let leaving = state.leaving_by_name();
         let usable = |id: &IncarnationId, host: &HostRecord| {
-            // One that tells no domain is no host of this service, whoever announced it; one that has
-            // just missed a probe is most likely the reason for its group's end; what one keeps that was
-            // not heard yet is not known.
+            // Without a domain it is no group host of this service; after a missed probe it most
+            // likely broke its group; the weights of an inherited host are unknown until it is
+            // heard from.
             host.beat.report.domain.is_some()
                 && host.failures == 0
                 && !host.inherited
@@ -218,7 +218,7 @@
                 && !state.is_evacuated(&host.beat.zone)
                 && !index.group_of(id).is_some_and(|group| is_evacuated(&self.hosts, state, group))
         };
-        // In the order of their names, as the table is.
+        // Sorted by name, like the table.
         let pool: Vec<PoolHost> = self
             .hosts
             .of_service(service)
@@ -226,21 +226,22 @@
             .map(|(id, host)| pool_host(now, &index, id, host))
             .collect();
         let models = &engine.models;
-        let lasting = |model: &ModelSpec| self.lasting_groups(state, service, &model.name, &pool);
-        let groups: Vec<Vec<PlacedGroup>> = models.iter().map(lasting).collect();
+        let active = |model: &ModelSpec| self.active_groups(state, service, &model.name, &pool);
+        let groups: Vec<Vec<PlacedGroup>> = models.iter().map(active).collect();
         let placed = groups.iter().flatten().flat_map(|group| &group.hosts);
         let mut grouped: Vec<&IncarnationId> = placed.map(|host| &host.id).collect();
         grouped.sort_unstable();
         let ungrouped = |host: &&PoolHost| grouped.binary_search(&&host.id).is_err();
         let rest = pool.iter().filter(ungrouped).cloned();
-        let (leaving, rest): (Vec<_>, Vec<_>) = rest.partition(|host| self.is_stray(state, host));
+        let (leaving, rest): (Vec<_>, Vec<_>) =
+            rest.partition(|host| self.is_stale_member(state, host));
         let serves = |host: &PoolHost| host.standby.is_none() && index.group_of(&host.id).is_some();
         let (closing, free) = rest.into_iter().partition(serves);
-        let asked = |model: &ModelSpec| self.demand.of(now, service, &model.name);
-        let demand = models.iter().map(asked).collect();
+        let model_rate = |model: &ModelSpec| self.demand.rate(now, service, &model.name);
+        let demand = models.iter().map(model_rate).collect();
         let trust = self.demand.trust(now);
-        let loading = self.staging_now();
-        let gathering = self.is_gathering(now).then(|| self.domains(service));
+        let loading = self.staging_count();
+        let first_start_domains = self.is_first_start(now).then(|| self.domains(service));
         let serving = self.serving;
         PlanView {
             service,
@@ -253,16 +254,17 @@
             trust,
             shares: self.shares(service, engine),
             loading,
-            gathering,
+            first_start_domains,
             serving,
         }
     }
 
-    /// Shares of the models in the work before the demand is known: those of the groups that a leader
-    /// inherits, which followed the demand, or else the declared ones.
+    /// Share of each model in the work before the demand is known: by the groups that a leader
+    /// inherits, which followed the demand, or else as declared.
     ///
-    /// A leader that went by the declared shares would end groups of one model for another, dozens of them in
-    /// a large fleet, and after a stop of everything at the moment when everybody comes back.
+    /// By the declared shares a new leader would end groups of one model in favour of another,
+    /// dozens of them in a large fleet; after a complete outage that would happen while all callers
+    /// reconnect.
     fn shares(&self, service: &ServiceName, engine: &EngineModel) -> Vec<f64> {
         let held = |model: &ModelSpec| {
             let key = (service.clone(), model.name.clone());
@@ -276,20 +278,22 @@
     }
 
     /// Whether the host is still in a group that has ended.
-    fn is_stray(&self, state: &FleetState, host: &PoolHost) -> bool {
-        self.hosts.get(&host.id).is_some_and(|host| stray::is_stray(host, state))
+    fn is_stale_member(&self, state: &FleetState, host: &PoolHost) -> bool {
+        self.hosts.get(&host.id).is_some_and(|host| stale_member::is_stale_member(host, state))
     }
 
-    /// Groups of `model` that serve or form and are not about to end, with their hosts in `pool`,
-    /// which is sorted by name.
-    fn lasting_groups(
+    /// Groups of `model` that serve or form and are not ending, with their hosts in `pool`, which
+    /// is sorted by name.
+    fn active_groups(
         &self,
         state: &FleetState,
         service: &ServiceName,
         model: &str,
         pool: &[PoolHost],
     ) -> Vec<PlacedGroup> {
-        let ends = |group: &GroupId| self.runs.get(group).is_some_and(|run| run.ending.is_some());
+        let ends = |group: &GroupId| {
+            self.trackers.get(group).is_some_and(|tracker| tracker.ending_since.is_some())
+        };
         let serves = |record: &GroupRecord| {
             !record.standby
                 && record.service == *service
@@ -297,7 +301,7 @@
                 && !is_evacuated(&self.hosts, state, record)
         };
         let groups = state.groups().iter();
-        let lasting = groups.filter(|(group, record)| serves(record) && !ends(group));
+        let active = groups.filter(|(group, record)| serves(record) && !ends(group));
         let position =
             |host: &GroupHost| pool.binary_search_by(|other| other.id.cmp(&host.id)).ok();
         let place = |(group, record): (&GroupId, &GroupRecord)| {
@@ -306,17 +310,17 @@
             let hosts = positions.into_iter().map(|position| pool[position].clone()).collect();
             PlacedGroup { group: *group, domain: record.domain.clone(), hosts }
         };
-        lasting.map(place).collect()
+        active.map(place).collect()
     }
 
-    /// Staging is over once the host reports the weights, or too much time has passed.
-    fn settle_staging(&mut self, now: TimePoint) {
+    /// Clears staging of hosts that report the weights or have passed the deadline.
+    fn clear_finished_staging(&mut self, now: TimePoint) {
         for (_, host) in self.hosts.iter_mut() {
-            let over = host
+            let is_finished = host
                 .staging
                 .as_ref()
                 .is_some_and(|(model, until)| now >= *until || host.has_staged(model));
-            if over {
+            if is_finished {
                 host.staging = None;
             }
         }
@@ -330,27 +334,32 @@
     id: &IncarnationId,
     host: &HostRecord,
 ) -> PoolHost {
-    let nowhere = || DomainName::new("");
+    let no_domain = || DomainName::new("");
     PoolHost {
         id: id.clone(),
         address: host.beat.address.clone(),
-        domain: host.beat.report.domain.clone().unwrap_or_else(nowhere),
+        domain: host.beat.report.domain.clone().unwrap_or_else(no_domain),
         zone: host.beat.zone.clone(),
         staged: host.beat.report.staged.clone(),
         staging: staging_of(host),
-        warm: host.warm.clone(),
+        warm_model: host.warm_model.clone(),
         slow: host.is_slow(),
-        lasting_slow: host.slow_since.is_some_and(|since| now.since(since) >= SLOW_FOR),
-        fresh: now.since(host.since) < FRESH,
+        confirmed_slow: host.slow_since.is_some_and(|since| now.since(since) >= SLOW_CONFIRM_TIME),
+        newly_seen: now.since(host.first_seen) < NEW_HOST_TIME,
         standby: index.group_of(id).filter(|group| group.standby).map(|group| group.model.clone()),
     }
 }
 
-/// The model that the host is loading; an empty name where an earlier leader has ordered it.
+/// Model that the host is loading; an empty name when an earlier leader ordered the load.
 ///
-/// Without this a new leader orders the loads under way once more: nine in a second.
+/// Without this, a new leader orders running loads once more: nine in a second.
 fn staging_of(host: &HostRecord) -> Option<String> {
-    let joins = host.beat.report.mark.as_ref().is_some_and(|mark| mark.state == MarkState::Joining);
+    let joins = host
+        .beat
+        .report
+        .mark
+        .as_ref()
+        .is_some_and(|membership| membership.state == MarkState::Joining);
     let busy = host.beat.report.busy == Some(true);
     let unknown = || (busy && !joins).then(String::new);
     host.staging.as_ref().map(|(model, _)| model.clone()).or_else(unknown)
--- a/crates/fleet/src/director/records.rs
+++ b/crates/fleet/src/director/records.rs
@@ -1,4 +1,4 @@
-//! The agreed list of endpoints, kept up to date with what is heard.
+//! Endpoint records in the log, kept up to date with the known endpoints.
 
 use briartray_model::TimePoint;
 use briartray_model::names::IncarnationId;
@@ -7,30 +7,31 @@
 use super::{EndpointBeat, EndpointReport, FleetDirector, HostRecord};
 use crate::state::{EndpointRecord, FleetCommand, FleetState};
 
-/// Endpoints that one command names at the most. Nothing is planned while commands are under way: with a
-/// command for each endpoint, thousands that start together would have no groups when callers come.
-const RECORDS_PER_STEP: usize = 256;
+/// Limit on endpoints in one command. Nothing is planned while commands are pending: with one
+/// command for each endpoint, thousands that start together would have no groups when callers send
+/// requests.
+const MAX_RECORDS_PER_COMMAND: usize = 256;
 
 impl FleetDirector {
-    /// Brings the agreed list of endpoints up to date with what was heard.
-    pub(super) fn keep_records(
+    /// Appends commands that add new endpoints to the log and remove forgotten ones.
+    pub(super) fn sync_records(
         &mut self,
         now: TimePoint,
         state: &FleetState,
         output: &mut DirectorOutput,
     ) {
         self.hosts.prune(now);
-        let fresh = |(id, host): &(&IncarnationId, &HostRecord)| {
+        let unrecorded = |(id, host): &(&IncarnationId, &HostRecord)| {
             state.endpoints().get(id).is_none() && !host.is_lost() && !self.announced.contains(id)
         };
-        let fresh = self.hosts.iter().filter(fresh).take(RECORDS_PER_STEP);
-        let records: Vec<EndpointRecord> = fresh.map(|(_, host)| record_of(host)).collect();
+        let unrecorded = self.hosts.iter().filter(unrecorded).take(MAX_RECORDS_PER_COMMAND);
+        let records: Vec<EndpointRecord> = unrecorded.map(|(_, host)| record_of(host)).collect();
         if !records.is_empty() {
             self.announced.extend(records.iter().map(|record| record.id.clone()));
             output.commands.push(FleetCommand::Announce(records));
         }
         let gone = state.endpoints().keys().filter(|id| self.hosts.get(id).is_none());
-        let gone: Vec<IncarnationId> = gone.take(RECORDS_PER_STEP).cloned().collect();
+        let gone: Vec<IncarnationId> = gone.take(MAX_RECORDS_PER_COMMAND).cloned().collect();
         if !gone.is_empty() {
             self.announced.retain(|known| !gone.contains(known));
             output.commands.push(FleetCommand::Forget(gone));
@@ -38,7 +39,7 @@
     }
 }
 
-/// What is agreed on of an endpoint.
+/// Record of an endpoint for the log.
 fn record_of(host: &HostRecord) -> EndpointRecord {
     let beat = &host.beat;
     EndpointRecord {
@@ -51,8 +52,8 @@
     }
 }
 
-/// The beat that an earlier leader would have had; any real one is newer.
-pub(super) fn inherited_beat(record: &EndpointRecord) -> EndpointBeat {
+/// Placeholder heartbeat for an endpoint in the log; any received one is newer.
+pub(super) fn inherited_heartbeat(record: &EndpointRecord) -> EndpointBeat {
     EndpointBeat {
         id: record.id.clone(),
         service: record.service.clone(),
--- a/crates/fleet/src/director/step.rs
+++ b/crates/fleet/src/director/step.rs
@@ -1,4 +1,4 @@
-//! The director: what is known, stepped.
+//! The director's state, inputs and step.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use briartray_model::{SortedTable, TimePoint};
 
 use super::demand::DemandBook;
-use super::group::{GroupRun, GroupScene, GroupStep, next_step};
+use super::group::{GroupContext, GroupStep, GroupTracker, next_step};
 use super::host_record::HostRecord;
 use super::hosts::HostTable;
 use super::loads::LoadLimiter;
 use super::order_window::OrderWindow;
 use super::pulse::PulseBook;
-use super::records::inherited_beat;
-use super::stray;
+use super::records::inherited_heartbeat;
+use super::stale_member;
 use super::{
     EndpointBeat, EndpointOrder, EndpointReport, MarkState, OrderCall, OrderOutcome, ProbeCall,
 };
@@ -21,148 +21,151 @@
 use crate::message::{EntryReport, GroupLoad};
 use crate::state::{FleetCommand, FleetState, GroupRecord, MemberIndex};
 
-/// Time a new leader asks the endpoints it inherits before it acts: two probes fit in.
-const SURVEY: Duration = Duration::from_millis(700);
+/// Time for which a new leader probes inherited endpoints before it acts; long enough for two
+/// probes.
+const TAKEOVER_WAIT: Duration = Duration::from_millis(700);
 
-/// Time a first leader listens before it forms groups: beats come every 1.2 s, and groups that are
-/// formed of the first few hosts to be heard are not those that all of them would make.
-const LISTEN_FIRST: Duration = Duration::from_millis(1_300);
+/// Time for which a first leader waits for endpoints before it forms groups. Heartbeats come every
+/// 1.2 s, and the first few hosts to be heard from would form other groups than all hosts.
+const MIN_DISCOVERY_TIME: Duration = Duration::from_millis(1_300);
 
-/// As above, while further endpoints are still heard for the first time, or asked by a new leader.
-const LISTEN_LONGEST: Duration = Duration::from_millis(2_200);
+/// Longest time for discovery, while new endpoints still appear or inherited ones are probed.
+const MAX_DISCOVERY_TIME: Duration = Duration::from_millis(2_200);
 
-/// Time without a new endpoint after which all of them are taken to be known.
-const NEWCOMER_PAUSE: Duration = Duration::from_millis(300);
+/// Time without a new endpoint after which all of them count as known.
+const DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(300);
 
-/// Time between two looks at the demand.
-const DEMAND_EVERY: Duration = Duration::from_millis(500);
+/// Time between two updates of the demand.
+const DEMAND_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Factor on a load's time after which it counts as failed: loads slow each other down.
-pub(super) const LOAD_PATIENCE: u32 = 3;
+/// Multiple of a model's load time after which a load counts as failed: loads slow each other down.
+pub(super) const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
-/// Time without a report after which an entry no longer counts: a dozen reports.
+/// Time without a report after which an entry no longer counts; a dozen reports fit in.
 pub const ENTRY_GONE: Duration = Duration::from_secs(3);
 
-/// Number that no group has.
+/// Id that no group has.
 const NO_GROUP: GroupId = GroupId(0);
 
-/// What follows from a step.
+/// Result of a step.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct DirectorOutput {
     /// Orders to send.
     pub orders: Vec<OrderCall>,
-    /// Reports to ask for.
+    /// Probes to send.
     pub probes: Vec<ProbeCall>,
     /// Commands for the log.
     pub commands: Vec<FleetCommand>,
 }
 
-/// What a leader knows of the endpoints, and what it does about them.
+/// Decides for the leader which groups form and end and which weights are staged.
 #[derive(Debug, Clone, Default)]
 pub struct FleetDirector {
     pub(super) since: TimePoint,
-    /// Whether an earlier leader may have left groups whose hosts are yet to be heard.
-    pub(super) inherits: bool,
-    /// Hosts of each model's groups when the leader took over.
+    /// Whether the log had endpoints at the start: an earlier leader may have left groups whose
+    /// hosts have not been heard from yet.
+    pub(super) took_over: bool,
+    /// Number of hosts in the groups of each model when the leader took over.
     pub(super) inherited_hosts: SortedTable<(ServiceName, String), usize>,
-    /// Whether enough has been heard to act.
-    acts: bool,
+    /// Whether a leader that took over has begun to act on groups.
+    has_acted: bool,
     pub(super) hosts: HostTable,
     pub(super) pulses: PulseBook,
     pub(super) demand: DemandBook,
-    demand_at: TimePoint,
-    /// When an endpoint was heard of for the first time, lately.
-    newcomer_at: TimePoint,
-    pub(super) runs: SortedTable<GroupId, GroupRun>,
+    next_demand_update: TimePoint,
+    /// When the last new endpoint appeared.
+    last_new_endpoint: TimePoint,
+    pub(super) trackers: SortedTable<GroupId, GroupTracker>,
     pub(super) loads: LoadLimiter,
-    /// Orders that are under way.
-    window: OrderWindow,
-    /// What decided when something was planned last.
-    pub(super) plan_note: String,
+    /// Orders in flight.
+    order_window: OrderWindow,
+    /// Inputs of the last plan as one line for the log.
+    pub(super) plan_summary: String,
     pub(super) serving: bool,
-    /// Something was learnt since the planner looked last.
-    pub(super) news: bool,
-    /// When the planner looks again although nothing was learnt.
-    pub(super) look_at: TimePoint,
+    /// Whether there is new information since the last plan.
+    pub(super) replan_needed: bool,
+    /// When the planner runs again without new information.
+    pub(super) next_plan_at: TimePoint,
     /// Commands that are not applied yet; nothing is planned meanwhile.
-    open_commands: usize,
+    pending_commands: usize,
     entries: SortedTable<NodeName, TimePoint>,
-    /// Endpoints whose record is on its way into the log.
+    /// Endpoints whose record is in a pending command or in the log.
     pub(super) announced: Vec<IncarnationId>,
 }
 
 impl FleetDirector {
-    /// A director of a leader that begins at `now` with what was agreed before.
+    /// Creates the director of a leader that starts at `now` with the agreed state.
     pub fn new(now: TimePoint, state: &FleetState) -> Self {
-        let inherits = !state.endpoints().is_empty();
-        // Callers may be served already: loads count then, and take their full time.
-        let mut director = Self { since: now, inherits, serving: inherits, ..Self::default() };
+        let took_over = !state.endpoints().is_empty();
+        // Callers may already be served: loads then count and take their full time.
+        let mut director = Self { since: now, took_over, serving: took_over, ..Self::default() };
         for group in state.groups().values().filter(|group| !group.standby) {
             let key = (group.service.clone(), group.model.clone());
             *director.inherited_hosts.get_or_insert_with(key, || 0) += group.members.len();
         }
         for record in state.endpoints().values() {
-            director.hosts.inherit(now, inherited_beat(record));
+            director.hosts.inherit(now, inherited_heartbeat(record));
         }
         director
     }
 
-    /// Takes a beat; tells whether it says something new.
+    /// Records a heartbeat and returns whether the known report changed.
     pub fn beat(&mut self, now: TimePoint, beat: EndpointBeat) -> bool {
         let report = |host: &HostRecord| host.beat.report.clone();
         let id = beat.id.clone();
         let known = self.hosts.get(&id).map(report);
         if known.is_none() {
-            self.newcomer_at = now;
+            self.last_new_endpoint = now;
         }
-        let told = self.hosts.beat(now, beat) && known != self.hosts.get(&id).map(report);
-        self.news |= told;
-        told
+        let changed = self.hosts.beat(now, beat) && known != self.hosts.get(&id).map(report);
+        self.replan_needed |= changed;
+        changed
     }
 
-    /// Takes the answer to a probe, or that none came; tells whether it says something new.
+    /// Records the answer to a probe, or `None` for a failure, and returns whether the known report
+    /// changed.
     pub fn probed(
         &mut self,
         now: TimePoint,
         id: &IncarnationId,
         report: Option<EndpointReport>,
     ) -> bool {
-        let told = |hosts: &HostTable| hosts.get(id).map(|host| host.beat.report.clone());
-        let known = told(&self.hosts);
+        let known_report = |hosts: &HostTable| hosts.get(id).map(|host| host.beat.report.clone());
+        let known = known_report(&self.hosts);
         let silent = report.is_none();
         self.hosts.probed(now, id, report);
-        let changed = known != told(&self.hosts);
-        self.news |= changed || silent;
+        let changed = known != known_report(&self.hosts);
+        self.replan_needed |= changed || silent;
         changed
     }
 
-    /// Takes note that nobody had time to read the answer to a probe.
+    /// Records that there was no time to read the answer to a probe.
     pub fn unread(&mut self, now: TimePoint, id: &IncarnationId) {
         self.hosts.unread(now, id);
     }
 
-    /// Takes what came of an order.
+    /// Records the outcome of an order.
     pub fn ordered(&mut self, now: TimePoint, call: &OrderCall, outcome: OrderOutcome) {
-        self.window.end();
-        self.news = true;
+        self.order_window.record_finished();
+        self.replan_needed = true;
         if !matches!(outcome, OrderOutcome::Unknown | OrderOutcome::OtherEndpoint) {
-            self.hosts.proven(now, &call.id);
+            self.hosts.confirm_identity(now, &call.id);
         }
         match outcome {
             OrderOutcome::OtherEndpoint => self.hosts.remove(&call.id),
-            // What it did, if anything, shows in the next report.
+            // The next report shows the effect of the order, if it had any.
             OrderOutcome::Unknown => {
-                self.hosts.give_up_staging(now, &call.id, &call.order);
-                for run in self.runs.values_mut() {
-                    run.forget_asked(&call.id, &call.order);
+                self.hosts.retry_staging_soon(now, &call.id, &call.order);
+                for tracker in self.trackers.values_mut() {
+                    tracker.forget_order(&call.id, &call.order);
                 }
                 self.hosts.probe_now(now, &call.id);
             }
             OrderOutcome::Holds => self.hosts.probe_now(now, &call.id),
             OrderOutcome::Misfit | OrderOutcome::Fenced => {
-                self.hosts.give_up_staging(now, &call.id, &call.order);
+                self.hosts.retry_staging_soon(now, &call.id, &call.order);
             }
-            // What it was told to leave it has left by now, and its next beat may be lost on the way.
+            // The endpoint has left its group by now, and its next heartbeat may be lost.
             OrderOutcome::Begun if matches!(call.order, EndpointOrder::Leave { .. }) => {
                 self.hosts.probe_now(now, &call.id);
             }
@@ -170,10 +173,10 @@
         }
     }
 
-    /// Takes what an entry saw.
+    /// Records a report of an entry.
     pub fn report(&mut self, now: TimePoint, report: &EntryReport, state: &FleetState) {
         self.entries.insert(report.node.clone(), now);
-        self.pulses.expect(self.entries.len());
+        self.pulses.set_entry_count(self.entries.len());
         self.serving |= report.serving;
         for demand in &report.demand {
             self.demand.add(now, demand);
@@ -186,13 +189,13 @@
         }
     }
 
-    /// What entries other than the reporting one have on the groups, or on a part of many.
+    /// Running requests of the other entries, for all groups or for one page of many.
     pub fn loads_beside(&self, report: &EntryReport) -> Vec<GroupLoad> {
         self.pulses.loads_beside(&report.node, report.nonce)
     }
 
-    /// Forgets entries that report no more.
-    fn forget_entries(&mut self, now: TimePoint) {
+    /// Removes entries that no longer report.
+    fn expire_entries(&mut self, now: TimePoint) {
         let pulses = &mut self.pulses;
         self.entries.retain(|entry, heard| {
             let stays = now.since(*heard) < ENTRY_GONE;
@@ -203,56 +206,55 @@
         });
     }
 
-    /// Takes note that the endpoints of `zone` are sent to again.
+    /// Records that requests go to the endpoints of `zone` again.
     pub fn readmit(&mut self, now: TimePoint, zone: &ZoneName) {
         self.hosts.readmit(now, zone);
-        self.news = true;
+        self.replan_needed = true;
     }
 
-    /// Takes note that a command was applied, or lost.
+    /// Records that a command was applied or lost.
     pub fn command_done(&mut self) {
-        self.open_commands = self.open_commands.saturating_sub(1);
-        self.news = true;
+        self.pending_commands = self.pending_commands.saturating_sub(1);
+        self.replan_needed = true;
     }
 
-    /// The start of an endpoint that is meant by `id`: the one that is known where `id` does not
-    /// tell.
+    /// Incarnation meant by `id`: the known one where `id` does not contain a start time.
     pub fn leaving_start(&self, id: IncarnationId) -> IncarnationId {
         match id.started_at() {
             Some(_) => id,
-            None => self.hosts.start_of(id.endpoint()).cloned().unwrap_or(id),
+            None => self.hosts.incarnation_of(id.endpoint()).cloned().unwrap_or(id),
         }
     }
 
-    /// An endpoint is gone for good.
+    /// Removes an endpoint that is gone for good.
     pub fn gone(&mut self, id: &IncarnationId) {
-        self.news = true;
+        self.replan_needed = true;
         self.hosts.remove(id);
     }
 
-    /// Whether enough was heard to act on what was not.
-    pub fn is_settled(&self, now: TimePoint) -> bool {
+    /// Whether enough time has passed to treat endpoints without a sign of life as missing.
+    pub fn may_act(&self, now: TimePoint) -> bool {
         let waited = now.since(self.since);
-        match self.inherits {
-            true => waited >= SURVEY || self.hosts.is_surveyed(),
+        match self.took_over {
+            true => waited >= TAKEOVER_WAIT || self.hosts.is_discovery_complete(),
             false => {
-                let quiet = now.since(self.newcomer_at) >= NEWCOMER_PAUSE;
-                (waited >= LISTEN_FIRST && quiet) || waited >= LISTEN_LONGEST
+                let quiet = now.since(self.last_new_endpoint) >= DISCOVERY_QUIET_TIME;
+                (waited >= MIN_DISCOVERY_TIME && quiet) || waited >= MAX_DISCOVERY_TIME
             }
         }
     }
 
-    /// Whether every endpoint was heard, as far as that is waited for: until then nothing is planned, and the view
-    /// is a part of what is there.
-    pub(super) fn is_surveyed(&self, now: TimePoint) -> bool {
+    /// Whether all endpoints are known as far as discovery waits for them. Until then nothing is
+    /// planned, and the view is partial.
+    pub(super) fn is_discovery_complete(&self, now: TimePoint) -> bool {
         let waited = now.since(self.since);
-        match self.inherits {
-            true => waited >= LISTEN_LONGEST || self.hosts.is_surveyed(),
-            false => self.is_settled(now),
+        match self.took_over {
+            true => waited >= MAX_DISCOVERY_TIME || self.hosts.is_discovery_complete(),
+            false => self.may_act(now),
         }
     }
 
-    /// Everything that is due.
+    /// Returns all orders, probes and commands that are due.
     pub fn step(
         &mut self,
         now: TimePoint,
@@ -260,23 +262,23 @@
         plan: &DeploymentPlan,
     ) -> DirectorOutput {
         let mut output = DirectorOutput::default();
-        self.keep_records(now, state, &mut output);
-        self.runs.retain(|group, _| state.groups().contains_key(group));
+        self.sync_records(now, state, &mut output);
+        self.trackers.retain(|group, _| state.groups().contains_key(group));
         self.pulses.retain(|group| state.groups().contains_key(&group));
-        self.forget_entries(now);
-        self.ask_reports(now, state, &mut output);
-        if self.is_settled(now) {
-            if self.inherits && !std::mem::replace(&mut self.acts, true) {
+        self.expire_entries(now);
+        self.add_probes(now, state, &mut output);
+        if self.may_act(now) {
+            if self.took_over && !std::mem::replace(&mut self.has_acted, true) {
                 self.inherit_loads(now);
             }
             self.act(now, state, plan, &mut output);
         }
-        self.open_commands += output.commands.len();
-        self.window.give(now, output.orders.len());
+        self.pending_commands += output.commands.len();
+        self.order_window.record_sent(now, output.orders.len());
         output
     }
 
-    /// Steps the groups, and plans further ones while no command is under way.
+    /// Steps the groups, and plans further actions while no command is pending.
     fn act(
         &mut self,
         now: TimePoint,
@@ -284,16 +286,16 @@
         plan: &DeploymentPlan,
         output: &mut DirectorOutput,
     ) {
-        if now >= self.demand_at {
-            self.demand.roll(now);
-            self.demand_at = now.after(DEMAND_EVERY);
-            self.news = true;
+        if now >= self.next_demand_update {
+            self.demand.update_rates(now);
+            self.next_demand_update = now.after(DEMAND_UPDATE_INTERVAL);
+            self.replan_needed = true;
         }
-        self.note_warm(state);
-        let room = self.order_room(now, output);
-        output.orders.extend(stray::recall(now, &mut self.hosts, state, room));
+        self.record_warm_models(state);
+        let capacity = self.order_capacity(now, output);
+        output.orders.extend(stale_member::release_orders(now, &mut self.hosts, state, capacity));
         self.step_groups(now, state, plan, output);
-        if self.open_commands > 0 || !self.is_surveyed(now) || !self.is_plan_due(now) {
+        if self.pending_commands > 0 || !self.is_discovery_complete(now) || !self.is_plan_due(now) {
             return;
         }
         for service in &plan.services {
@@ -303,48 +305,48 @@
         }
     }
 
-    /// The endpoints that are known.
+    /// All known endpoints.
     pub fn hosts(&self) -> &HostTable {
         &self.hosts
     }
 
-    pub(super) fn scene<'a>(
+    pub(super) fn context<'a>(
         &'a self,
         now: TimePoint,
         state: &'a FleetState,
         plan: &'a DeploymentPlan,
-    ) -> GroupScene<'a> {
-        GroupScene::new(now, &self.hosts, &self.pulses, state, plan)
+    ) -> GroupContext<'a> {
+        GroupContext::new(now, &self.hosts, &self.pulses, state, plan)
     }
 
-    /// Notes which model each host can join a group of at once.
-    fn note_warm(&mut self, state: &FleetState) {
+    /// Records the model with which each host can join a group at once.
+    fn record_warm_models(&mut self, state: &FleetState) {
         for (_, host) in self.hosts.iter_mut() {
-            let Some(mark) = &host.beat.report.mark else { continue };
-            let warm = matches!(mark.state, MarkState::Ready | MarkState::Open);
-            if let Some(record) = state.groups().get(&mark.group).filter(|_| warm)
-                && host.warm.as_deref() != Some(&record.model)
+            let Some(membership) = &host.beat.report.mark else { continue };
+            let warm = matches!(membership.state, MarkState::Ready | MarkState::Open);
+            if let Some(record) = state.groups().get(&membership.group).filter(|_| warm)
+                && host.warm_model.as_deref() != Some(&record.model)
             {
-                host.warm = Some(record.model.clone());
+                host.warm_model = Some(record.model.clone());
             }
         }
     }
 
-    fn ask_reports(&mut self, now: TimePoint, state: &FleetState, output: &mut DirectorOutput) {
+    fn add_probes(&mut self, now: TimePoint, state: &FleetState, output: &mut DirectorOutput) {
         let index = MemberIndex::new(state);
         let due = self.hosts.due_probes(now, |id| index.group_of(id).is_some());
         output.probes.extend(due);
-        // To leave a group that never was changes nothing.
+        // Leaving a group that never existed has no effect.
         let order = EndpointOrder::Leave { group: NO_GROUP };
-        let room = self.order_room(now, output);
-        let proofs = self.hosts.due_proofs(now, room).into_iter();
-        let ask = |(id, address)| OrderCall { id, address, order: order.clone() };
-        output.orders.extend(proofs.map(ask));
+        let capacity = self.order_capacity(now, output);
+        let checks = self.hosts.due_identity_checks(now, capacity).into_iter();
+        let identity_order = |(id, address)| OrderCall { id, address, order: order.clone() };
+        output.orders.extend(checks.map(identity_order));
     }
 
-    /// Orders that may be given beside those of this step.
-    fn order_room(&mut self, now: TimePoint, output: &DirectorOutput) -> usize {
-        self.window.room(now).saturating_sub(output.orders.len())
+    /// Number of orders that may be sent in addition to those of this step.
+    fn order_capacity(&mut self, now: TimePoint, output: &DirectorOutput) -> usize {
+        self.order_window.capacity(now).saturating_sub(output.orders.len())
     }
 
     fn step_groups(
@@ -354,24 +356,25 @@
         plan: &DeploymentPlan,
         output: &mut DirectorOutput,
     ) {
-        let mut runs = std::mem::take(&mut self.runs);
-        let room = self.order_room(now, output);
-        let full = output.orders.len() + room;
-        let scene = self.scene(now, state, plan);
+        let mut trackers = std::mem::take(&mut self.trackers);
+        let capacity = self.order_capacity(now, output);
+        let max_orders = output.orders.len() + capacity;
+        let context = self.context(now, state, plan);
         for (group, record) in state.groups().iter() {
-            if output.orders.len() >= full {
+            if output.orders.len() >= max_orders {
                 break;
             }
-            let patience = load_time(plan, record) * LOAD_PATIENCE;
-            let run = runs.get_or_insert_with(*group, || GroupRun::new(now, patience));
-            match next_step(&scene.sight(*group, record), run) {
+            let load_timeout = load_time(plan, record) * LOAD_TIMEOUT_FACTOR;
+            let tracker =
+                trackers.get_or_insert_with(*group, || GroupTracker::new(now, load_timeout));
+            match next_step(&context.status(*group, record), tracker) {
                 GroupStep::Nothing => {}
                 GroupStep::Order(calls) => output.orders.extend(calls),
                 GroupStep::End => output.commands.push(FleetCommand::EndGroup(*group)),
             }
         }
-        drop(scene);
-        self.runs = runs;
+        drop(context);
+        self.trackers = trackers;
     }
 }
 
--- a/crates/fleet/src/director/view.rs
+++ b/crates/fleet/src/director/view.rs
@@ -1,4 +1,4 @@
-//! What entries are told of endpoints and groups.
+//! The view of endpoints and groups that entries receive.
 
 use briartray_model::TimePoint;
 
@@ -10,7 +10,7 @@
 use crate::state::{FleetState, GroupRecord, MemberIndex};
 
 impl FleetDirector {
-    /// What entries may send to.
+    /// Endpoints and groups to which entries may send requests.
     pub fn view(
         &self,
         now: TimePoint,
@@ -18,8 +18,8 @@
         plan: &DeploymentPlan,
         version: ViewVersion,
     ) -> FleetView {
-        let scene = self.scene(now, state, plan);
-        let partial = !self.is_surveyed(now);
+        let context = self.context(now, state, plan);
+        let partial = !self.is_discovery_complete(now);
         let mut view = FleetView { version, partial, ..FleetView::default() };
         for service in plan.services.iter().filter(|service| service.engine.is_none()) {
             view.endpoints.extend(self.endpoints_of(now, service, state));
@@ -34,17 +34,18 @@
                 head: head.id.clone(),
                 address: head.address.clone(),
                 zone: record.zone.clone(),
-                open: scene.sight(*group, record).is_open()
+                open: context.status(*group, record).is_open()
                     && !is_evacuated(&self.hosts, state, record),
-                cold: self.head_cold(now, record, plan),
+                cold: self.head_cold_rate(now, record, plan),
             });
         }
         view
     }
 
-    /// Hosts that are in no group, by domain and by the weights they have, in a few words.
+    /// Spare hosts by domain and weights, with the demand and the last plan, as one line for the
+    /// log.
     pub fn spare_summary(&self, state: &FleetState) -> String {
-        let mut kinds: Vec<String> = Vec::new();
+        let mut descriptions: Vec<String> = Vec::new();
         let index = MemberIndex::new(state);
         for (id, host) in self.hosts.iter() {
             let Some(domain) = &host.beat.report.domain else { continue };
@@ -54,17 +55,17 @@
             }
             let staged = host.beat.report.staged.join("+");
             let loading = host.staging.as_ref().map_or("", |(model, _)| model);
-            kinds.push(format!("{domain}:{staged}>{loading}"));
+            descriptions.push(format!("{domain}:{staged}>{loading}"));
         }
-        kinds.sort();
-        let asked = self.demand.summary();
+        descriptions.sort();
+        let demand = self.demand.summary();
         let counts =
-            kinds.chunk_by(|a, b| a == b).map(|same| format!("{} {}", same[0], same.len()));
-        format!("{}; busy {asked}; {}", counts.collect::<Vec<_>>().join(", "), self.plan_note)
+            descriptions.chunk_by(|a, b| a == b).map(|same| format!("{} {}", same[0], same.len()));
+        format!("{}; busy {demand}; {}", counts.collect::<Vec<_>>().join(", "), self.plan_summary)
     }
 
-    /// What the first host of a group takes while it is cold.
-    fn head_cold(
+    /// Rate that the head of a group accepts while it is cold.
+    fn head_cold_rate(
         &self,
         now: TimePoint,
         record: &GroupRecord,
@@ -74,7 +75,7 @@
         self.hosts.get(&record.members.first()?.id)?.cold_rate(now, terms)
     }
 
-    /// Endpoints of `service` that take work.
+    /// Endpoints of `service` that take requests.
     fn endpoints_of<'a>(
         &'a self,
         now: TimePoint,
--- a/crates/fleet/tests/director/evacuation.rs
+++ b/crates/fleet/tests/director/evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones that are evacuated and readmitted.
+//! Evacuation and readmission of availability zones.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     fleet.director.view(fleet.now, &fleet.state, fleet.plan(), ViewVersion::default())
 }
 
-/// Groups of the zone that take work in `view`, and those elsewhere.
+/// Number of open groups in `view` inside the zone and outside.
 fn open_groups(view: &FleetView) -> (usize, usize) {
     let open = view.groups.iter().filter(|group| group.open);
     let (inside, outside): (Vec<_>, Vec<_>) = open.partition(|group| group.zone == zone());
@@ -33,10 +33,10 @@
     fleet.director.readmit(fleet.now, &zone());
 }
 
-/// Guards against a zone whose groups still take work after it was evacuated, and against groups that are taken
-/// apart although they are to serve again later.
+/// Guards against groups of an evacuated zone that still take requests, and against ending them
+/// although they are to serve again later.
 #[test]
-fn groups_of_an_evacuated_zone_stand_aside_and_come_back_whole() {
+fn groups_of_an_evacuated_zone_pause_and_resume() {
     let mut fleet = TestFleet::serving(11);
     let (inside, _) = open_groups(&view(&fleet));
     assert!(inside > 0);
@@ -50,8 +50,8 @@
     assert_eq!(open_groups(&view(&fleet)).0, inside);
 }
 
-/// Guards against a model that keeps its groups in the evacuated zone only: the hosts that are left are split
-/// anew, so that each model is served.
+/// Guards against a model without any group outside the evacuated zone: the remaining hosts are
+/// split anew, so that each model is served.
 #[test]
 fn both_models_are_served_outside_an_evacuated_zone() {
     for seed in 12..16 {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Guards against orders and loads for hosts that nobody may use.
+/// Guards against orders and loads for hosts in an evacuated zone, which nobody may use.
 #[test]
 fn no_group_is_formed_in_an_evacuated_zone() {
     let mut fleet = TestFleet::serving(17);
@@ -91,7 +91,7 @@
     inside.map(|(group, _)| group.0).collect()
 }
 
-/// Guards against a new leader that sends to an evacuated zone.
+/// Guards against a new leader that sends requests to an evacuated zone.
 #[test]
 fn a_new_leader_keeps_a_zone_evacuated() {
     let mut fleet = TestFleet::serving(18);
@@ -106,7 +106,8 @@
     assert!(open_groups(&view(&fleet)).1 > 0);
 }
 
-/// Guards against a zone that became cold just before it was readmitted, which its endpoints tell later.
+/// Guards against full load on a zone that became cold just before its readmission, which its
+/// endpoints report only later.
 #[test]
 fn endpoints_of_a_readmitted_zone_count_as_cold_for_a_while() {
     let mut fleet = TestFleet::serving(19);
--- a/crates/fleet/tests/director/fleet.rs
+++ b/crates/fleet/tests/director/fleet.rs
@@ -1,5 +1,5 @@
-//! Fixtures: stand-in endpoints under a director, stepped in one thread, and the promises that are
-//! checked at every step.
+//! Fixture: stand-in endpoints and a director, stepped in one thread; invariants are checked at
+//! every step.
 
 use std::time::Duration;
 
@@ -20,37 +20,34 @@
 
 use crate::models::{LARGE, SMALL, two_models};
 
-/// Time of one step.
 pub const STEP: Duration = Duration::from_millis(20);
 
-/// Time between two beats.
-const BEAT: Duration = Duration::from_millis(1_200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Time after which an entry finds a group silent.
-const SILENCE: Duration = Duration::from_millis(400);
+const SILENCE_LIMIT: Duration = Duration::from_millis(400);
 
-/// Hosts of one fabric domain.
-pub const DOMAIN: usize = 10;
+pub const HOSTS_PER_DOMAIN: usize = 10;
 
-/// An endpoint and whether it can be reached.
+/// An endpoint with its reachability.
 pub struct TestHost {
     pub model: HostModel,
     pub alive: bool,
     /// Cut off from the control hosts, while entries still reach it.
-    pub cut: bool,
-    beat_at: TimePoint,
+    pub isolated: bool,
+    heartbeat_at: TimePoint,
 }
 
-/// How orders fare.
+/// Faults of orders and probes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OrderFaults {
-    /// Orders in a hundred that get no answer and are carried out 2 to 12 s later.
-    pub late: u32,
-    /// Probes in a hundred that get no answer.
-    pub lost_probes: u32,
+    /// Percentage of orders that get no answer and are carried out 2 to 12 s later.
+    pub delayed_percent: u32,
+    /// Percentage of probes that get no answer.
+    pub lost_probe_percent: u32,
 }
 
-/// Endpoints, the agreed state, and whoever leads.
+/// Endpoints, the agreed state and the current leader.
 pub struct TestFleet {
     pub now: TimePoint,
     pub hosts: Vec<TestHost>,
@@ -58,43 +55,42 @@
     pub director: FleetDirector,
     pub faults: OrderFaults,
     pub random: ChaCha8Rng,
-    /// Work that callers ask for a second, in groups: large, small.
+    /// Demand as busy groups: large, small.
     pub demand: (f64, f64),
-    /// Whether callers have begun to ask.
+    /// Whether callers send requests.
     pub serving: bool,
-    /// Groups that were formed so far.
+    /// Number of groups formed so far.
     pub formed: u64,
-    /// Steps of the fixture for one of the director.
-    pub steps_every: u64,
+    /// Steps of the fixture for each step of the director.
+    pub steps_per_director_step: u64,
     steps: u64,
-    /// Time between two beats of an endpoint.
-    pub beat_every: Duration,
-    /// Whether the answers to orders still wait to be read, however many that are.
-    pub no_answers: bool,
-    /// Orders that have no answer yet.
+    pub heartbeat_interval: Duration,
+    /// Whether orders stay unanswered, as if the leader had no time to read the answers.
+    pub hold_answers: bool,
+    /// Number of orders without an answer.
     pub unanswered: usize,
-    /// When loads from the weight store began.
+    /// When loads from the weight store started.
     pub loads: Vec<TimePoint>,
-    /// Endpoints that were asked for reports so far, one by one.
+    /// Endpoints that were probed so far, in order.
     pub probed: Vec<IncarnationId>,
     plan: DeploymentPlan,
     term: u64,
-    late: Vec<(TimePoint, OrderCall, u64)>,
-    /// Members that were ready for a group.
+    delayed: Vec<(TimePoint, OrderCall, u64)>,
+    /// Members that were ready, by group.
     ready: Vec<(GroupId, IncarnationId)>,
-    moved: Vec<(GroupId, TimePoint)>,
-    report_at: TimePoint,
+    last_active: Vec<(GroupId, TimePoint)>,
+    next_report_at: TimePoint,
     next_id: u64,
 }
 
 impl TestFleet {
     /// Three domains of ten hosts, all just started.
     pub fn new(seed: u64) -> Self {
-        Self::of(seed, two_models(), 3, DOMAIN)
+        Self::with_domains(seed, two_models(), 3, HOSTS_PER_DOMAIN)
     }
 
     /// `domains` of `hosts` each, all just started.
-    pub fn of(seed: u64, plan: DeploymentPlan, domains: usize, hosts: usize) -> Self {
+    pub fn with_domains(seed: u64, plan: DeploymentPlan, domains: usize, hosts: usize) -> Self {
         let now = TimePoint(1_000_000);
         let mut fleet = Self {
             now,
@@ -106,19 +102,19 @@
             demand: (2.0, 4.0),
             serving: false,
             formed: 0,
-            steps_every: 1,
+            steps_per_director_step: 1,
             steps: 0,
-            beat_every: BEAT,
-            no_answers: false,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            hold_answers: false,
             unanswered: 0,
             loads: Vec::new(),
             probed: Vec::new(),
             plan,
             term: 1,
-            late: Vec::new(),
+            delayed: Vec::new(),
             ready: Vec::new(),
-            moved: Vec::new(),
-            report_at: now,
+            last_active: Vec::new(),
+            next_report_at: now,
             next_id: 0,
         };
         fleet.director = FleetDirector::new(now, &fleet.state);
@@ -130,18 +126,17 @@
         fleet
     }
 
-    /// What was declared.
     pub fn plan(&self) -> &DeploymentPlan {
         &self.plan
     }
 
-    /// Declares what a cold endpoint takes a second, and for how long it is cold.
+    /// Sets the rate that a cold endpoint accepts, and for how long it is cold.
     pub fn set_cold_terms(&mut self, per_second: f64, lasts: Duration) {
         let rate = EndpointRate::per_second(per_second);
         self.plan.services[0].cold = Some(ColdTerms { rate, lasts });
     }
 
-    /// A fleet whose groups serve, with callers.
+    /// A fleet with serving groups and callers.
     pub fn serving(seed: u64) -> Self {
         let mut fleet = Self::new(seed);
         fleet.run_for(Duration::from_secs(40));
@@ -160,29 +155,31 @@
             zone: ZoneName::new(&format!("zone-{domain}")),
             domain: DomainName::new(&format!("domain-{domain}")),
         };
-        let beat_at = self.now.after(Duration::from_millis(self.random.random_range(0..1_200)));
+        let heartbeat_at =
+            self.now.after(Duration::from_millis(self.random.random_range(0..1_200)));
         self.hosts.push(TestHost {
             model: HostModel::new(place),
             alive: true,
-            cut: false,
-            beat_at,
+            isolated: false,
+            heartbeat_at,
         });
         self.hosts.len() - 1
     }
 
-    /// The hosts of a domain send their first beats one after the other, `gap` apart.
+    /// Delays the first heartbeats of a domain's hosts: they come one after the other, `gap` apart.
     pub fn delay_domain(&mut self, domain: usize, gap: Duration) {
         let name = format!("domain-{domain}");
-        let mut beat_at = self.now;
+        let mut heartbeat_at = self.now;
         for host in &mut self.hosts {
             if host.model.place.domain.as_str() == name {
-                beat_at = beat_at.after(gap);
-                host.beat_at = beat_at;
+                heartbeat_at = heartbeat_at.after(gap);
+                host.heartbeat_at = heartbeat_at;
             }
         }
     }
 
-    /// The endpoint starts anew: another incarnation at the same address, with what its host keeps.
+    /// Restarts the endpoint as another incarnation at the same address; its host keeps its
+    /// weights.
     pub fn restart_host(&mut self, host: usize) -> usize {
         self.hosts[host].alive = false;
         let domain = self.hosts[host].model.place.domain.clone();
@@ -194,8 +191,8 @@
         next
     }
 
-    /// The endpoint starts anew under its old name, with what its host keeps.
-    pub fn restart_under_its_name(&mut self, host: usize) -> usize {
+    /// Restarts the endpoint under the same name; its host keeps its weights.
+    pub fn restart_with_same_name(&mut self, host: usize) -> usize {
         let next = self.restart_host(host);
         let name = self.hosts[host].model.place.id.endpoint();
         let started = self.now.0 / 1_000;
@@ -203,19 +200,19 @@
         next
     }
 
-    /// A beat that the endpoint sent before it died arrives now.
-    pub fn deliver_old_beat(&mut self, host: usize) {
+    /// Delivers a heartbeat that the endpoint sent before it died.
+    pub fn deliver_old_heartbeat(&mut self, host: usize) {
         let beat = self.hosts[host].model.beat();
         self.director.beat(self.now, beat);
     }
 
-    /// Another host leads from now on; it knows what was agreed, and nothing else.
+    /// Replaces the leader by one that knows only the agreed state.
     pub fn change_leader(&mut self) {
         self.term += 1;
         self.director = FleetDirector::new(self.now, &self.state);
     }
 
-    /// Hosts that are in a group which serves, by position.
+    /// Positions of hosts in serving groups.
     pub fn grouped(&self) -> Vec<usize> {
         let open: Vec<&IncarnationId> = self
             .open_groups()
@@ -228,19 +225,19 @@
             .collect()
     }
 
-    /// Groups whose head is open and whose members are all there.
+    /// Groups whose head is open and whose members are all present.
     pub fn open_groups(&self) -> Vec<GroupId> {
         let whole =
             |(group, _): &(&GroupId, &briartray_fleet::state::GroupRecord)| self.is_whole(**group);
         self.state.groups().iter().filter(whole).map(|(group, _)| *group).collect()
     }
 
-    /// Groups of `model` that serve.
-    pub fn open_of(&self, model: &str) -> usize {
-        let of = |group: &GroupId| {
+    /// Number of serving groups of `model`.
+    pub fn open_groups_of(&self, model: &str) -> usize {
+        let serves_model = |group: &GroupId| {
             self.state.groups().get(group).is_some_and(|record| record.model == model)
         };
-        self.open_groups().iter().filter(|group| of(group)).count()
+        self.open_groups().iter().filter(|group| serves_model(group)).count()
     }
 
     pub fn run_for(&mut self, time: Duration) {
@@ -250,7 +247,7 @@
         }
     }
 
-    /// Steps until `done` holds and tells how long it took; panics when that is over `limit`.
+    /// Steps until `done` holds and returns the time that took; panics when it reaches `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -259,7 +256,7 @@
     ) -> Duration {
         let start = self.now;
         while !done(self) {
-            assert!(self.now.since(start) < limit, "not in time: {what}");
+            assert!(self.now.since(start) < limit, "timed out: {what}");
             self.step();
         }
         self.now.since(start)
@@ -267,11 +264,11 @@
 
     pub fn step(&mut self) {
         self.now = self.now.after(STEP);
-        self.carry_late();
+        self.run_delayed_orders();
         self.step_hosts();
         self.report();
         self.steps += 1;
-        if !self.steps.is_multiple_of(self.steps_every) {
+        if !self.steps.is_multiple_of(self.steps_per_director_step) {
             return;
         }
         let output = self.director.step(self.now, &self.state, &self.plan);
@@ -324,7 +321,7 @@
                 continue;
             }
             let changed = host.model.tick(now);
-            let due = changed || now >= host.beat_at;
+            let due = changed || now >= host.heartbeat_at;
             if let Some(member) = &host.model.member
                 && member.state == MarkState::Ready
             {
@@ -333,8 +330,8 @@
                     self.ready.push(seen);
                 }
             }
-            if due && !host.cut {
-                host.beat_at = now.after(self.beat_every);
+            if due && !host.isolated {
+                host.heartbeat_at = now.after(self.heartbeat_interval);
                 let beat = host.model.beat();
                 self.beat(beat);
             }
@@ -351,12 +348,12 @@
 
     fn probe(&mut self, id: &IncarnationId) {
         self.probed.push(id.clone());
-        let answers = |host: &TestHost| host.alive && !host.cut;
-        let lost = self.random.random_range(0..100) < self.faults.lost_probes;
-        // A report is told by whoever has the address now, and does not say who that is.
+        let answers = |host: &TestHost| host.alive && !host.isolated;
+        let lost = self.random.random_range(0..100) < self.faults.lost_probe_percent;
+        // The current owner of the address answers the probe and does not identify itself.
         let address = self.position(id).map(|position| &self.hosts[position].model.place.address);
-        let host = address.and_then(|address| self.at(address));
-        // Unless it has started anew under its old name: then it tells since when it runs.
+        let host = address.and_then(|address| self.host_at(address));
+        // One that restarted under the same name does: it reports its start time.
         let starts_later = |host: &&TestHost| id.is_before(&host.model.place.id);
         if host.filter(|host| answers(host) && !lost).is_some_and(|host| starts_later(&host)) {
             return self.director.gone(id);
@@ -366,28 +363,29 @@
     }
 
     /// The living host at `address`.
-    fn at(&self, address: &str) -> Option<&TestHost> {
+    fn host_at(&self, address: &str) -> Option<&TestHost> {
         self.hosts.iter().find(|host| host.alive && host.model.place.address == address)
     }
 
     fn order(&mut self, call: OrderCall) {
-        if self.no_answers {
+        if self.hold_answers {
             self.unanswered += 1;
             return;
         }
-        if self.random.random_range(0..100) < self.faults.late {
+        if self.random.random_range(0..100) < self.faults.delayed_percent {
             let wait = Duration::from_millis(self.random.random_range(2_000..12_000));
-            self.late.push((self.now.after(wait), call.clone(), self.term));
+            self.delayed.push((self.now.after(wait), call.clone(), self.term));
             return self.director.ordered(self.now, &call, OrderOutcome::Unknown);
         }
         let outcome = self.carry_out(&call, self.term);
         self.director.ordered(self.now, &call, outcome);
     }
 
-    fn carry_late(&mut self) {
+    fn run_delayed_orders(&mut self) {
         let now = self.now;
-        let (due, waiting) = std::mem::take(&mut self.late).into_iter().partition(|l| l.0 <= now);
-        self.late = waiting;
+        let (due, waiting) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|l| l.0 <= now);
+        self.delayed = waiting;
         let due: Vec<(TimePoint, OrderCall, u64)> = due;
         for (_, call, term) in due {
             self.carry_out(&call, term);
@@ -396,12 +394,14 @@
 
     fn carry_out(&mut self, call: &OrderCall, term: u64) -> OrderOutcome {
         let Some(position) = self.position(&call.id) else { return OrderOutcome::Unknown };
-        let position = self.later_start(position);
+        let position = self.latest_incarnation(position);
         let host = &self.hosts[position];
-        if !host.alive && self.at(&host.model.place.address).is_some_and(|other| !other.cut) {
+        if !host.alive
+            && self.host_at(&host.model.place.address).is_some_and(|other| !other.isolated)
+        {
             return OrderOutcome::OtherEndpoint;
         }
-        if !host.alive || host.cut {
+        if !host.alive || host.isolated {
             return OrderOutcome::Unknown;
         }
         let before = host.model.member.clone();
@@ -418,14 +418,14 @@
         outcome
     }
 
-    /// The living host under the name of the one at `position`, which takes orders meant for it.
-    fn later_start(&self, position: usize) -> usize {
+    /// Position of the living later incarnation of the host at `position`, which takes its orders.
+    fn latest_incarnation(&self, position: usize) -> usize {
         let id = &self.hosts[position].model.place.id;
         let later = |host: &TestHost| host.alive && id.is_before(&host.model.place.id);
         self.hosts.iter().position(later).unwrap_or(position)
     }
 
-    /// No host may be taken into another group while the head of its own still serves.
+    /// Checks that no host joins another group while the head of its own still serves.
     fn check_join(
         &self,
         id: &IncarnationId,
@@ -447,7 +447,7 @@
         assert!(!serves, "{id} joins group {group} while group {} serves", before.group);
     }
 
-    /// No group may serve before each of its members was ready for it.
+    /// Checks that no group serves before each of its members was ready for it.
     fn check_open(&self, position: usize) {
         let host = &self.hosts[position].model;
         let Some(member) = host.member.as_ref().filter(|m| m.state == MarkState::Open) else {
@@ -459,24 +459,24 @@
         }
     }
 
-    /// What an entry sees: whole groups move, others fall silent.
+    /// Sends the report of an entry: whole groups send bytes, the others are silent.
     fn report(&mut self) {
         for group in self.open_groups() {
-            self.moved.retain(|(known, _)| *known != group);
-            self.moved.push((group, self.now));
+            self.last_active.retain(|(known, _)| *known != group);
+            self.last_active.push((group, self.now));
         }
-        if !self.serving || self.now < self.report_at {
+        if !self.serving || self.now < self.next_report_at {
             return;
         }
         let since = Duration::from_millis(100);
-        self.report_at = self.now.after(since);
-        let pulse = |(group, moved): &(GroupId, TimePoint)| GroupPulse {
+        self.next_report_at = self.now.after(since);
+        let pulse = |(group, last_active): &(GroupId, TimePoint)| GroupPulse {
             group: *group,
-            quiet_ms: u64::try_from(self.now.since(*moved).as_millis()).ok(),
+            quiet_ms: u64::try_from(self.now.since(*last_active).as_millis()).ok(),
             running: 1,
-            suspect: self.now.since(*moved) > SILENCE,
+            suspect: self.now.since(*last_active) > SILENCE_LIMIT,
         };
-        let ask = |model: &str, groups: f64| ModelDemand {
+        let demand_for = |model: &str, groups: f64| ModelDemand {
             service: ServiceName::new("desk"),
             model: model.to_owned(),
             sum: WorkSum { work_ms: groups * since.as_secs_f64() * 1e3, ..WorkSum::default() },
@@ -487,8 +487,8 @@
             plan: Some(1),
             view: ViewVersion { term: TermNumber(self.term), number: 0 },
             settled: true,
-            pulses: self.moved.iter().map(pulse).collect(),
-            demand: vec![ask(LARGE, self.demand.0), ask(SMALL, self.demand.1)],
+            pulses: self.last_active.iter().map(pulse).collect(),
+            demand: vec![demand_for(LARGE, self.demand.0), demand_for(SMALL, self.demand.1)],
             serving: true,
             prints: ViewVersion::default(),
             runs: Vec::new(),
--- a/crates/fleet/tests/director/losses.rs
+++ b/crates/fleet/tests/director/losses.rs
@@ -1,15 +1,15 @@
-//! Single losses, each with the time until the group serves again.
+//! Single losses and the time until the group serves again.
 
 use std::time::Duration;
 
 use crate::fleet::{OrderFaults, TestFleet};
 use crate::models::{LARGE, SMALL};
 
-/// Longest time until a group serves again when a warm spare stands by: silence, one probe, close
+/// Longest time until a group serves again if a warm spare is available: silence, one probe, close
 /// and leave, join, open.
-const MENDED: Duration = Duration::from_millis(1_600);
+const REPAIR_LIMIT: Duration = Duration::from_millis(1_600);
 
-/// A host of `model` that serves; the head of its group, or another member.
+/// A serving host of `model`: the head of its group, or another member.
 fn member_of(fleet: &TestFleet, model: &str, head: bool) -> usize {
     let group = fleet
         .open_groups()
@@ -21,107 +21,113 @@
     fleet.hosts.iter().position(|host| host.model.place.id == *id).expect("a member is a host")
 }
 
-/// Thirty hosts are started together, before any caller asks for anything. Ten seconds later both
-/// models are served, and each domain holds a spare for its large group.
+/// Guards against a first start without groups of both models: thirty hosts start together before
+/// callers come, and each domain keeps a spare for its large group.
 #[test]
 fn a_first_start_forms_groups_of_both_models() {
     let mut fleet = TestFleet::new(1);
 
     fleet.run_for(Duration::from_secs(40));
 
-    assert_eq!(fleet.open_of(LARGE), 3);
-    assert_eq!(fleet.open_of(SMALL), 6);
+    assert_eq!(fleet.open_groups_of(LARGE), 3);
+    assert_eq!(fleet.open_groups_of(SMALL), 6);
 }
 
-/// A host of a large group dies. Callers of that model see late answers until a spare, which
-/// was kept warm, takes its place.
+/// Guards against a lost member without a replacement: callers get late answers until a warm spare
+/// takes its place.
 #[test]
 fn a_dead_member_is_replaced_by_a_warm_spare() {
     let mut fleet = TestFleet::serving(2);
-    let before = fleet.open_of(LARGE);
+    let before = fleet.open_groups_of(LARGE);
     let dead = member_of(&fleet, LARGE, false);
 
     fleet.hosts[dead].alive = false;
 
-    let took =
-        fleet.run_until(MENDED, "the group is mended", |fleet| fleet.open_of(LARGE) == before);
+    let took = fleet.run_until(REPAIR_LIMIT, "repair of the group", |fleet| {
+        fleet.open_groups_of(LARGE) == before
+    });
     assert!(took > Duration::ZERO);
 }
 
-/// The first host of a group dies, which is the one that takes requests and orders. Its members
-/// know nothing of it; they are told to leave and form another group with a spare.
+/// Guards against members that stay in the group of a dead head: the head takes requests and
+/// orders, and the members do not notice its loss. They are ordered to leave and form another group
+/// with a spare.
 #[test]
 fn a_dead_head_frees_its_members() {
     let mut fleet = TestFleet::serving(3);
-    let before = fleet.open_of(LARGE);
+    let before = fleet.open_groups_of(LARGE);
     let dead = member_of(&fleet, LARGE, true);
 
     fleet.hosts[dead].alive = false;
 
-    fleet.run_until(MENDED, "another group in its place", |fleet| fleet.open_of(LARGE) == before);
+    fleet.run_until(REPAIR_LIMIT, "replacement group", |fleet| {
+        fleet.open_groups_of(LARGE) == before
+    });
 }
 
-/// The control hosts lose sight of a group's first host, while callers are still served by it. The
-/// group is left alone: taken apart it would have been in two groups at once.
+/// Guards against ending a group whose head only the control hosts cannot reach: callers are still
+/// served, and its members would be in two groups at once.
 #[test]
-fn a_group_that_callers_reach_is_left_alone() {
+fn an_isolated_group_that_serves_callers_is_kept() {
     let mut fleet = TestFleet::serving(4);
     let head = member_of(&fleet, SMALL, true);
     let groups = fleet.open_groups();
 
-    fleet.hosts[head].cut = true;
+    fleet.hosts[head].isolated = true;
     fleet.run_for(Duration::from_secs(8));
 
     assert_eq!(fleet.open_groups(), groups);
 }
 
-/// A link loses packets, and one probe in five gets no answer for ten seconds. The groups work all
-/// the while, and none of them is taken apart.
+/// Guards against ending groups because of lost probes: one probe in five gets no answer for ten
+/// seconds, while all groups work.
 #[test]
-fn lost_probes_alone_break_nothing() {
+fn lost_probes_end_no_group() {
     let mut fleet = TestFleet::serving(5);
     let groups = fleet.open_groups();
-    fleet.faults = OrderFaults { late: 0, lost_probes: 20 };
+    fleet.faults = OrderFaults { delayed_percent: 0, lost_probe_percent: 20 };
 
     fleet.run_for(Duration::from_secs(10));
 
     assert_eq!(fleet.open_groups(), groups);
 }
 
-/// A host announces that it will leave. Its group takes no new work at once, ends what runs, and
-/// another group serves in its place without it.
+/// Guards against a leaving member that cuts requests off or stays in use: its group takes no new
+/// requests, completes the running ones, and another group serves without that host.
 #[test]
-fn a_leaving_member_ends_its_group_in_peace() {
+fn a_leaving_member_drains_its_group() {
     let mut fleet = TestFleet::serving(6);
-    let before = fleet.open_of(LARGE);
+    let before = fleet.open_groups_of(LARGE);
     let leaving = member_of(&fleet, LARGE, false);
 
     fleet.hosts[leaving].model.leaving = true;
     fleet.run_for(Duration::from_secs(6));
 
-    assert_eq!(fleet.open_of(LARGE), before);
+    assert_eq!(fleet.open_groups_of(LARGE), before);
     assert!(!fleet.grouped().contains(&leaving));
 }
 
-/// The leading control host dies in the middle of a repair. The next one knows the endpoints from
-/// the log, asks them at once, and finishes what was begun.
+/// Guards against a repair that ends with its leader: the next leader knows the endpoints from the
+/// log, probes them at once and completes the repair.
 #[test]
 fn the_next_leader_finishes_a_repair() {
     let mut fleet = TestFleet::serving(7);
-    let before = fleet.open_of(LARGE);
+    let before = fleet.open_groups_of(LARGE);
     let dead = member_of(&fleet, LARGE, false);
     fleet.hosts[dead].alive = false;
     fleet.run_for(Duration::from_millis(500));
 
     fleet.change_leader();
 
-    fleet.run_until(Duration::from_secs(4), "the repair", |fleet| fleet.open_of(LARGE) == before);
+    fleet.run_until(Duration::from_secs(4), "repair by the next leader", |fleet| {
+        fleet.open_groups_of(LARGE) == before
+    });
 }
 
-/// A whole fabric domain loses power. What is left serves both models, and when the domain is back
-/// its hosts are used again.
+/// Guards against a model without groups after a whole fabric domain loses power, and against
+/// leaving its hosts unused when they are back.
 #[test]
-fn a_dark_domain_leaves_both_models_served() {
+fn a_failed_domain_leaves_both_models_served() {
     let mut fleet = TestFleet::serving(8);
     let domain = |host: &crate::fleet::TestHost| host.model.place.domain.as_str() == "domain-0";
 
@@ -129,22 +135,21 @@
         host.alive = false;
     }
     fleet.run_for(Duration::from_secs(4));
-    assert!(fleet.open_of(LARGE) >= 2);
-    assert!(fleet.open_of(SMALL) >= 4);
+    assert!(fleet.open_groups_of(LARGE) >= 2);
+    assert!(fleet.open_groups_of(SMALL) >= 4);
 
-    for _ in 0..crate::fleet::DOMAIN {
+    for _ in 0..crate::fleet::HOSTS_PER_DOMAIN {
         fleet.add_host(0);
     }
     fleet.run_for(Duration::from_secs(60));
-    assert!(fleet.open_of(LARGE) >= 3);
+    assert!(fleet.open_groups_of(LARGE) >= 3);
 }
 
-/// Two hosts of the large group in one domain die a few seconds apart, and the domain has a spare for
-/// the first of them only. Callers of the large model were refused for the 16 s in which an empty
-/// host loaded its weights, three whole hosts idling meanwhile; a host of a small group takes the
-/// place now.
+/// Guards against waiting for a load after a second loss in one domain, for which there is no
+/// spare. Callers of the large model were refused for the 16 s in which an empty host loaded the
+/// weights, with three hosts of the group idle; now a host of a small group takes the place.
 #[test]
-fn a_second_loss_is_made_up_for_by_a_host_of_another_model() {
+fn a_second_loss_takes_a_host_from_another_model() {
     let mut fleet = TestFleet::serving(9);
     fleet.demand = (2.6, 4.0);
     fleet.run_for(Duration::from_secs(4));
@@ -163,20 +168,19 @@
 
         fleet.hosts[dead].alive = false;
 
-        fleet.run_until(RECLAIMED, "a large group in its place", |fleet| large(fleet).is_some());
+        fleet.run_until(REBALANCE_LIMIT, "replacement large group", |fleet| large(fleet).is_some());
     }
 }
 
-/// Longest time until a group serves again with a host of a group that serves another model: that
-/// one ends what runs, then its host joins and warms up.
-const RECLAIMED: Duration = Duration::from_millis(7_000);
+/// Longest time until a group serves again with a host of another model's group: that group
+/// completes its requests, then the host joins and warms up.
+const REBALANCE_LIMIT: Duration = Duration::from_millis(7_000);
 
-/// A fabric domain loses power and comes back: each endpoint is another incarnation at its old
-/// address. Beats that the earlier incarnations had sent arrive now, delayed on the way. They were
-/// taken for newer endpoints, the groups that had just been formed were taken apart, and callers got
-/// cut streams for seconds.
+/// Guards against late heartbeats of earlier incarnations after a domain lost power and came back
+/// at the same addresses. They were taken for newer endpoints, groups that had just formed were
+/// ended, and callers got cut streams for seconds.
 #[test]
-fn late_beats_of_earlier_incarnations_change_nothing() {
+fn late_heartbeats_of_earlier_incarnations_change_nothing() {
     let undisturbed = groups_after_a_power_loss(false);
 
     let disturbed = groups_after_a_power_loss(true);
@@ -184,10 +188,10 @@
     assert_eq!(disturbed.len(), undisturbed.len());
 }
 
-/// A domain has lost power and is still dark when beats arrive that its endpoints had sent before.
-/// Groups were formed of endpoints that no longer exist, and spares were taken into them.
+/// Guards against late heartbeats from a domain that is still without power: groups were formed of
+/// endpoints that no longer existed, and spares were taken into them.
 #[test]
-fn beats_of_the_dead_bring_nobody_back() {
+fn late_heartbeats_of_dead_endpoints_form_no_group() {
     let mut fleet = TestFleet::serving(13);
     let old = hosts_of_the_first_domain(&fleet);
     for host in &old {
@@ -197,7 +201,7 @@
     let known = fleet.state.clone();
 
     for host in &old {
-        fleet.deliver_old_beat(*host);
+        fleet.deliver_old_heartbeat(*host);
         fleet.run_for(Duration::from_millis(40));
     }
 
@@ -210,9 +214,9 @@
     (0..fleet.hosts.len()).filter(|host| first(&fleet.hosts[*host])).collect()
 }
 
-/// Groups that serve some seconds after a domain has come back; none that has opened meanwhile may
-/// have ended.
-fn groups_after_a_power_loss(late_beats: bool) -> Vec<briartray_model::names::GroupId> {
+/// Groups that serve some seconds after a domain has come back; panics if one that opened in the
+/// meantime has ended.
+fn groups_after_a_power_loss(late_heartbeats: bool) -> Vec<briartray_model::names::GroupId> {
     let mut fleet = TestFleet::serving(10);
     let old = hosts_of_the_first_domain(&fleet);
     for host in &old {
@@ -226,31 +230,31 @@
     let before = fleet.open_groups();
     let mut seen = Vec::new();
     for host in old.iter().cycle().take(3 * old.len()) {
-        if late_beats {
-            fleet.deliver_old_beat(*host);
+        if late_heartbeats {
+            fleet.deliver_old_heartbeat(*host);
         }
         fleet.run_for(Duration::from_millis(140));
         seen.extend(fleet.open_groups().into_iter().filter(|group| !before.contains(group)));
     }
     let groups = fleet.open_groups();
     let ended = seen.iter().find(|group| !groups.contains(group));
-    assert_eq!(ended, None, "a group that had opened was taken apart");
+    assert_eq!(ended, None, "a group that had opened was ended");
     groups
 }
 
-/// A host of a large group turns eight times slower, as one that overheats does, and its group runs
-/// at its pace: nothing fails, and callers of that group get every event late. A spare takes the
-/// place, and the slow host serves again only when it is as quick as before.
+/// Guards against a slow member: a host that runs eight times slower, as when it overheats, delays
+/// every event of its group without any failure. A spare takes its place, and the host serves again
+/// only once it is fast.
 #[test]
-fn a_slow_member_is_replaced_while_a_spare_stands_by() {
+fn a_slow_member_is_replaced_by_a_spare() {
     let mut fleet = TestFleet::serving(11);
-    let before = fleet.open_of(LARGE);
+    let before = fleet.open_groups_of(LARGE);
     let slow = member_of(&fleet, LARGE, false);
     let domain = fleet.hosts[slow].model.place.domain.clone();
 
     fleet.hosts[slow].model.pace = 8.0;
     fleet.run_until(Duration::from_secs(6), "a group without the slow host", |fleet| {
-        fleet.open_of(LARGE) == before && !fleet.grouped().contains(&slow)
+        fleet.open_groups_of(LARGE) == before && !fleet.grouped().contains(&slow)
     });
 
     fleet.run_for(Duration::from_secs(10));
@@ -268,10 +272,10 @@
     assert!(fleet.grouped().contains(&slow));
 }
 
-/// All hosts of a domain turn slow together. There is nothing to replace them with there, and a group
-/// that answers late is better than none.
+/// Guards against ending slow groups without a replacement: when all hosts are slow, a late answer
+/// is better than none.
 #[test]
-fn slow_groups_serve_on_where_nothing_replaces_them() {
+fn slow_groups_without_replacements_are_kept() {
     let mut fleet = TestFleet::serving(12);
     let groups = fleet.open_groups();
 
@@ -283,38 +287,40 @@
     assert_eq!(fleet.open_groups(), groups);
 }
 
-/// A host of a large group crashes and is back a moment later under its old name, without its group.
-/// No probe ever fails, its group stands still all the same, and callers would wait until the stall
-/// is over. A beat of its earlier start that arrives afterwards changes nothing.
+/// Guards against a member that crashes and restarts under the same name without its group: no
+/// probe fails, but the group stalls and its callers wait. A late heartbeat of the earlier
+/// incarnation changes nothing.
 #[test]
-fn a_member_that_starts_again_under_its_name_is_replaced() {
+fn a_member_restarted_with_the_same_name_is_replaced() {
     let mut fleet = TestFleet::serving(21);
-    let before = fleet.open_of(LARGE);
+    let before = fleet.open_groups_of(LARGE);
     let host = member_of(&fleet, LARGE, false);
 
-    fleet.restart_under_its_name(host);
+    fleet.restart_with_same_name(host);
     fleet.run_for(Duration::from_millis(50));
-    let broken = fleet.open_of(LARGE);
-    fleet.run_until(MENDED, "the group is mended", |fleet| fleet.open_of(LARGE) == before);
+    let broken = fleet.open_groups_of(LARGE);
+    fleet.run_until(REPAIR_LIMIT, "repair of the group", |fleet| {
+        fleet.open_groups_of(LARGE) == before
+    });
     let groups = fleet.open_groups();
-    fleet.deliver_old_beat(host);
+    fleet.deliver_old_heartbeat(host);
     fleet.run_for(Duration::from_secs(5));
 
     assert_eq!(broken, before - 1);
     assert_eq!(fleet.open_groups(), groups);
 }
 
-/// A host announces that it leaves, ends, and starts again under its old name. It was left out for
-/// good, as though it were still leaving.
+/// Guards against a host that stays unused after it announced that it leaves, stopped, and
+/// restarted under the same name: it was treated as still leaving.
 #[test]
-fn a_host_that_left_is_used_again_after_its_next_start() {
+fn a_host_that_left_is_used_again_after_a_restart() {
     let mut fleet = TestFleet::serving(22);
     let host = member_of(&fleet, LARGE, false);
     fleet.hosts[host].model.leaving = true;
     fleet.run_for(Duration::from_secs(3));
 
-    let next = fleet.restart_under_its_name(host);
-    // The rest of its domain dies but for three, and callers ask for all that is left.
+    let next = fleet.restart_with_same_name(host);
+    // All but three other hosts of the domain die, and the demand needs every host that is left.
     fleet.demand = (6.0, 12.0);
     let domain = fleet.hosts[host].model.place.domain.clone();
     let others: Vec<usize> = (0..fleet.hosts.len())
--- a/crates/fleet/tests/director/main.rs
+++ b/crates/fleet/tests/director/main.rs
@@ -1,5 +1,5 @@
-//! The director against stand-in endpoints: groups are formed, mended and taken apart while
-//! orders are lost or late, hosts die, and leaders change.
+//! The director with stand-in endpoints: groups form, are repaired and end while orders are lost or
+//! late, hosts fail and leaders change.
 
 mod evacuation;
 mod fleet;
--- a/crates/fleet/tests/director/models.rs
+++ b/crates/fleet/tests/director/models.rs
@@ -1,4 +1,4 @@
-//! Fixtures: deployments of two models over one pool of hosts.
+//! Fixture: a deployment of two models over one pool of hosts.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 };
 use briartray_model::names::ServiceName;
 
-/// The large model, of four hosts.
+/// The large model, with groups of four hosts.
 pub const LARGE: &str = "large";
 
-/// The small model, of two.
+/// The small model, with groups of two hosts.
 pub const SMALL: &str = "small";
 
 /// A deployment of two models over one pool of hosts.
--- a/crates/fleet/tests/director/planner.rs
+++ b/crates/fleet/tests/director/planner.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the planner, without a director around it.
+//! Single decisions of the planner, without a director.
 
 use briartray_fleet::deployment::EngineModel;
 use briartray_fleet::director::{GroupPlanner, PlacedGroup, PlanAction, PlanView, PoolHost};
@@ -7,13 +7,13 @@
 
 use crate::models::{LARGE, SMALL, two_models};
 
-/// Position of the large model in the engine.
+/// Index of the large model in the engine.
 const LARGE_INDEX: usize = 0;
 
-/// Position of the small model in the engine.
+/// Index of the small model in the engine.
 const SMALL_INDEX: usize = 1;
 
-/// A domain with groups and free hosts, built host by host.
+/// Builds hosts and groups of a pool.
 struct PoolFixture {
     service: ServiceName,
     engine: EngineModel,
@@ -26,7 +26,7 @@
         Self { service: ServiceName::new("desk"), engine, next: 0 }
     }
 
-    fn host(&mut self, domain: &str, warm: Option<&str>, staged: &[&str]) -> PoolHost {
+    fn host(&mut self, domain: &str, warm_model: Option<&str>, staged: &[&str]) -> PoolHost {
         self.next += 1;
         PoolHost {
             id: IncarnationId::new(&format!("i-{:03}", self.next)),
@@ -35,10 +35,10 @@
             zone: ZoneName::new(domain),
             staged: staged.iter().map(|model| (*model).to_owned()).collect(),
             staging: None,
-            warm: warm.map(str::to_owned),
+            warm_model: warm_model.map(str::to_owned),
             slow: false,
-            lasting_slow: false,
-            fresh: false,
+            confirmed_slow: false,
+            newly_seen: false,
             standby: None,
         }
     }
@@ -49,7 +49,7 @@
         PlacedGroup { group: GroupId(u64::from(self.next)), domain: DomainName::new(domain), hosts }
     }
 
-    /// What the planner does next with callers who ask for `demand` groups of each model.
+    /// Next action of the planner for a demand of `demand` busy groups of each model.
     fn next(
         &self,
         free: Vec<PoolHost>,
@@ -72,29 +72,36 @@
             leaving: Vec::new(),
             closing: Vec::new(),
             groups: groups.to_vec(),
-            demand: demand.iter().map(busy).collect(),
+            demand: demand.iter().map(busy_demand).collect(),
             trust: 1.0,
             shares: self.engine.models.iter().map(|model| model.share).collect(),
             loading: 0,
-            gathering: None,
+            first_start_domains: None,
             serving: true,
         }
     }
 }
 
-/// What callers ask for, where only the groups that it keeps busy are known.
-fn busy(groups: &f64) -> WorkSum {
+/// Demand that is known only by the number of groups that it keeps busy.
+fn busy_demand(groups: &f64) -> WorkSum {
     WorkSum { work_ms: groups * 1e3, ..WorkSum::default() }
 }
 
-/// `rate` requests a second of the model at `index`, each with `prompt` tokens in and `answer` out.
-fn asked(engine: &EngineModel, index: usize, rate: f64, prompt: u32, answer: u32) -> WorkSum {
+/// Demand of `rate` requests a second for the model at `index`, with `prompt` tokens in and
+/// `answer` tokens out each.
+fn request_demand(
+    engine: &EngineModel,
+    index: usize,
+    rate: f64,
+    prompt: u32,
+    answer: u32,
+) -> WorkSum {
     let model = &engine.models[index];
     let each = WorkSum {
         work_ms: engine.work_ms(model, prompt, answer),
         requests: 1.0,
         reading_ms: engine.read_ms(prompt) * model.pace,
-        // Prompts differ as much as they are long.
+        // The standard deviation of prompt lengths equals their mean.
         reading_squares: 2.0 * (engine.read_ms(prompt) * model.pace).powi(2),
         events: engine.events(answer),
         target_ms: if index == LARGE_INDEX { 500.0 } else { 300.0 },
@@ -103,17 +110,18 @@
     each.times(rate)
 }
 
-fn formed(action: Option<PlanAction>) -> Option<(String, usize)> {
+fn formed_group(action: Option<PlanAction>) -> Option<(String, usize)> {
     match action {
         Some(PlanAction::Form { group, .. }) => Some((group.model, group.members.len())),
         _ => None,
     }
 }
 
-/// A large group has lost a member and there is no spare. Two small groups of the domain have time to
-/// spare; one of them ends, because its hosts keep the large model's weights.
+/// Guards against a model that keeps spare capacity while another one is short: a large group has
+/// lost a member and there is no spare. One of the underused small groups in the domain ends,
+/// because its hosts have staged the large model.
 #[test]
-fn a_model_with_enough_groups_gives_one_up() {
+fn a_model_with_enough_groups_releases_one() {
     let mut fixture = PoolFixture::new();
     let rest: Vec<PoolHost> = (0..3).map(|_| fixture.host("a", Some(LARGE), &[LARGE])).collect();
     let large = vec![fixture.group("b", LARGE, &[SMALL])];
@@ -125,10 +133,11 @@
     assert!(matches!(action, Some(PlanAction::End(group)) if ends.contains(&group)), "{action:?}");
 }
 
-/// Both models are short of hosts, and the large one has one group for its callers. Taken from the
-/// small one, a host would be asked back at once, and neither model would be served meanwhile.
+/// Guards against hosts that move back and forth: both models are short of hosts. If the small one
+/// released a group to the large one, it would claim the hosts back at once, and neither model
+/// would be served in the meantime.
 #[test]
-fn a_model_that_is_short_as_well_gives_nothing() {
+fn a_model_that_is_also_short_releases_nothing() {
     let mut fixture = PoolFixture::new();
     let rest: Vec<PoolHost> = (0..3).map(|_| fixture.host("a", Some(LARGE), &[LARGE])).collect();
     let large = vec![fixture.group("b", LARGE, &[SMALL])];
@@ -139,10 +148,11 @@
     assert!(!matches!(action, Some(PlanAction::End(_))), "{action:?}");
 }
 
-/// The members of a broken large group come free one after the other. The first two would make a
-/// small group, which then has to end again for the large one; they are kept for it.
+/// Guards against using the first free members of a broken large group for a small group, which
+/// would then have to end for the large one. The members become free one after the other and are
+/// kept together.
 #[test]
-fn hosts_wait_for_the_rest_of_the_group_that_lacks_most() {
+fn hosts_are_kept_for_the_model_with_the_largest_shortage() {
     let mut fixture = PoolFixture::new();
     let free: Vec<PoolHost> = (0..2).map(|_| fixture.host("a", Some(LARGE), &[SMALL])).collect();
     let leaving: Vec<PoolHost> = (0..2).map(|_| fixture.host("a", Some(LARGE), &[SMALL])).collect();
@@ -155,12 +165,12 @@
     view.free.extend(std::mem::take(&mut view.leaving));
     let late = GroupPlanner::new(view).next();
 
-    assert_eq!(formed(early), None);
-    assert_eq!(formed(late), Some((LARGE.to_owned(), 4)));
+    assert_eq!(formed_group(early), None);
+    assert_eq!(formed_group(late), Some((LARGE.to_owned(), 4)));
 }
 
-/// Callers ask for three times the work of the large model. The hosts that are left go to it, since
-/// both models are to be served equally well.
+/// Guards against a split that ignores the demand: callers ask for three times the work of the
+/// large model, and the remaining hosts go to it, so that both models are equally well covered.
 #[test]
 fn hosts_are_split_by_the_work_that_callers_ask_for() {
     let mut fixture = PoolFixture::new();
@@ -171,13 +181,13 @@
     let mostly_large = fixture.next(free.clone(), [large.clone(), small.clone()], [3.0, 1.0]);
     let mostly_small = fixture.next(free, [large, small], [0.5, 5.0]);
 
-    assert_eq!(formed(mostly_large), Some((LARGE.to_owned(), 4)));
-    assert_eq!(formed(mostly_small), Some((SMALL.to_owned(), 2)));
+    assert_eq!(formed_group(mostly_large), Some((LARGE.to_owned(), 4)));
+    assert_eq!(formed_group(mostly_small), Some((SMALL.to_owned(), 2)));
 }
 
-/// Both models are kept equally busy by their callers, who ask the large one for long texts. Its groups
-/// read for half of their time and one caller in ten was late; the small one's callers wait for a
-/// third of what they would accept. The hosts that are left make a large group.
+/// Guards against a split by utilization alone: both models are equally busy, but the large one
+/// gets long prompts, reads for half of its time, and one answer in ten was late; waits for the
+/// small model are a third of what its callers accept. The remaining hosts form a large group.
 #[test]
 fn hosts_go_where_callers_are_late_not_where_groups_are_busy() {
     let mut fixture = PoolFixture::new();
@@ -191,25 +201,28 @@
         .collect();
     let free: Vec<PoolHost> = (0..5).map(|_| fixture.host("d0", Some(LARGE), &[SMALL])).collect();
     let engine = fixture.engine.clone();
-    let drafts = asked(&engine, LARGE_INDEX, 120.0, 1_650, 100);
-    let digests = asked(&engine, SMALL_INDEX, 410.0, 674, 150);
-    let busy = [drafts, digests].map(|asked| asked.work_ms / 1e3);
-    let equally = fixture.next(free.clone(), [large.clone(), small.clone()], busy);
+    let drafts = request_demand(&engine, LARGE_INDEX, 120.0, 1_650, 100);
+    let digests = request_demand(&engine, SMALL_INDEX, 410.0, 674, 150);
+    let busy_groups = [drafts, digests].map(|demand| demand.work_ms / 1e3);
+    let equally = fixture.next(free.clone(), [large.clone(), small.clone()], busy_groups);
 
-    let mut view = fixture.view(free, [large, small], busy);
+    let mut view = fixture.view(free, [large, small], busy_groups);
     view.demand = vec![drafts, digests];
     let action = GroupPlanner::new(view).next();
 
-    assert!(busy[0] / 12.0 < busy[1] / 24.0 * 1.05, "no busier: {busy:?}");
-    assert_eq!(formed(equally), Some((SMALL.to_owned(), 2)));
-    assert_eq!(formed(action), Some((LARGE.to_owned(), 4)));
+    assert!(
+        busy_groups[0] / 12.0 < busy_groups[1] / 24.0 * 1.05,
+        "the large model is busier: {busy_groups:?}"
+    );
+    assert_eq!(formed_group(equally), Some((SMALL.to_owned(), 2)));
+    assert_eq!(formed_group(action), Some((LARGE.to_owned(), 4)));
 }
 
-/// Hosts are heard one after the other while everything starts, and those of two domains that came first
-/// made small groups. No domain can hold a large one any more, and its callers would be refused all day.
-/// Nobody is served yet, so small groups end for it at once.
+/// Guards against small groups that leave no domain with room for a large one: hosts appear one
+/// after the other on a start, and those of two domains that came first formed small groups.
+/// Callers of the large model would be refused for good, so small groups end before callers come.
 #[test]
-fn before_callers_come_small_groups_give_way_to_a_large_one() {
+fn small_groups_end_for_a_large_one_before_callers_come() {
     let mut fixture = PoolFixture::new();
     let free = ["a", "b"].map(|domain| fixture.host(domain, None, &[])).to_vec();
     let small: Vec<PlacedGroup> = ["a", "a", "a", "a", "b", "b", "b", "b"]
@@ -224,10 +237,11 @@
     assert!(matches!(action, Some(PlanAction::End(_))), "{action:?}");
 }
 
-/// An empty host is added to a domain whose hosts can nearly all serve the small model, and few the
-/// large one. The next large group that breaks there finds a host only if this one loads its weights.
+/// Guards against an empty host that loads what its domain has already: nearly all hosts there can
+/// serve the small model and few the large one, and the next broken large group needs a host that
+/// can.
 #[test]
-fn an_empty_host_loads_what_its_domain_has_least_of() {
+fn an_empty_host_loads_the_scarcest_model_of_its_domain() {
     let mut fixture = PoolFixture::new();
     let empty = fixture.host("a", None, &[]);
     let id = empty.id.clone();
@@ -239,10 +253,10 @@
     assert_eq!(action, Some(PlanAction::Stage { host: id, model: LARGE.to_owned() }));
 }
 
-/// Hosts that serve are given further weights while loads run. An empty host that is added then must
-/// not wait for them: two places of the weight store are left free.
+/// Guards against loads of further models that delay an empty host: two loads of the weight store
+/// are reserved for hosts without weights.
 #[test]
-fn further_weights_leave_places_for_empty_hosts() {
+fn extra_weights_reserve_loads_for_empty_hosts() {
     let mut fixture = PoolFixture::new();
     let large = vec![fixture.group("a", LARGE, &[LARGE])];
     let small = vec![fixture.group("a", SMALL, &[SMALL]), fixture.group("b", SMALL, &[SMALL])];
@@ -262,14 +276,14 @@
     assert!(matches!(first, Some(PlanAction::Stage { .. })), "{first:?}");
 }
 
-/// A host is slow and another one of the domain could take its place in the group. With all of them
-/// slow the group stays as it is.
+/// Guards against a slow member that stays although a fast host of the domain could replace it, and
+/// against ending the group when the replacement is slow as well.
 #[test]
 fn a_slow_member_is_replaced_only_by_a_quick_host() {
     let mut fixture = PoolFixture::new();
     let mut large = fixture.group("a", LARGE, &[SMALL]);
     large.hosts[1].slow = true;
-    large.hosts[1].lasting_slow = true;
+    large.hosts[1].confirmed_slow = true;
     let ends = large.group;
     let quick = fixture.host("a", Some(LARGE), &[SMALL]);
     let slow = PoolHost { slow: true, ..quick.clone() };
@@ -282,15 +296,15 @@
     assert!(!matches!(kept, Some(PlanAction::End(_))), "{kept:?}");
 }
 
-/// The only quick host that could take a slow one's place is still leaving a group that has ended.
-/// The group with the slow host was ended for it and formed anew with the same hosts, time after time,
-/// and served nobody meanwhile.
+/// Guards against ending a group for a replacement that is not free yet: the only fast host was
+/// still leaving an ended group, and the group with the slow host was ended and formed again with
+/// the same hosts, time after time, without serving.
 #[test]
-fn a_slow_member_stays_until_its_replacement_is_free() {
+fn a_slow_member_is_kept_until_its_replacement_is_free() {
     let mut fixture = PoolFixture::new();
     let mut slow = fixture.group("a", SMALL, &[LARGE]);
     slow.hosts[1].slow = true;
-    slow.hosts[1].lasting_slow = true;
+    slow.hosts[1].confirmed_slow = true;
     let quick = fixture.host("a", Some(SMALL), &[LARGE]);
     let large = vec![fixture.group("b", LARGE, &[SMALL])];
     let mut view = fixture.view(Vec::new(), [large, vec![slow]], [1.0, 1.0]);
@@ -301,7 +315,7 @@
     assert!(!matches!(action, Some(PlanAction::End(_))), "{action:?}");
 }
 
-/// The positions that the fixture's demand and groups go by.
+/// Checks the model order on which the demand and groups of the fixture depend.
 #[test]
 fn the_fixture_names_its_models_in_order() {
     let fixture = PoolFixture::new();
