--- a/crates/fleet/src/director/plan/rebalance.rs
+++ b/crates/fleet/src/director/plan/rebalance.rs
@@ -38,12 +38,12 @@
             models.flat_map(|(model, groups)| groups.iter().map(move |group| (model, group)));
         let found = groups.find(|(model, group)| {
             let slow = group.hosts.iter().any(|host| host.confirmed_slow);
-            let quick = |host: &&PoolHost| !host.slow && host.can_join(&model.name);
-            let kept = group.hosts.iter().filter(quick).count();
+            let fast = |host: &&PoolHost| !host.slow && host.can_join(&model.name);
+            let kept = group.hosts.iter().filter(fast).count();
             // Only hosts that are free now count: when one about to be free counted too, the same
             // group was formed and ended forty times in two seconds.
             let free = self.free_in(&group.domain);
-            slow && kept + free.iter().copied().filter(quick).count() >= model.size
+            slow && kept + free.iter().copied().filter(fast).count() >= model.size
         });
         found.map(|(_, group)| PlanAction::End(group.group))
     }
@@ -101,8 +101,8 @@
         missing: usize,
     ) -> Option<(usize, &'g PlacedGroup)> {
         let contribution = |group: &PlacedGroup| {
-            let quick = group.hosts.iter().filter(|host| !host.slow);
-            quick.filter(|host| self.can_join_soon(host, model)).count()
+            let fast = group.hosts.iter().filter(|host| !host.slow);
+            fast.filter(|host| self.can_join_soon(host, model)).count()
         };
         let mut ranked: Vec<(usize, &PlacedGroup)> =
             groups.iter().map(|group| (contribution(group), *group)).collect();
--- a/crates/fleet/src/director/planning.rs
+++ b/crates/fleet/src/director/planning.rs
@@ -266,11 +266,11 @@
     /// dozens of them in a large fleet; after a complete outage that would happen while all callers
     /// reconnect.
     fn shares(&self, service: &ServiceName, engine: &EngineModel) -> Vec<f64> {
-        let held = |model: &ModelSpec| {
+        let inherited_count = |model: &ModelSpec| {
             let key = (service.clone(), model.name.clone());
             self.inherited_hosts.get(&key).map_or(0.0, |hosts| *hosts as f64)
         };
-        let inherited: Vec<f64> = engine.models.iter().map(held).collect();
+        let inherited: Vec<f64> = engine.models.iter().map(inherited_count).collect();
         if inherited.iter().any(|hosts| *hosts > 0.0) {
             return inherited;
         }
--- a/crates/fleet/src/director/step.rs
+++ b/crates/fleet/src/director/step.rs
@@ -197,12 +197,12 @@
     /// Removes entries that no longer report.
     fn expire_entries(&mut self, now: TimePoint) {
         let pulses = &mut self.pulses;
-        self.entries.retain(|entry, heard| {
-            let stays = now.since(*heard) < ENTRY_GONE;
-            if !stays {
+        self.entries.retain(|entry, last_report| {
+            let is_current = now.since(*last_report) < ENTRY_GONE;
+            if !is_current {
                 pulses.forget(entry);
             }
-            stays
+            is_current
         });
     }
 
--- a/crates/fleet/tests/director/large.rs
+++ b/crates/fleet/tests/director/large.rs
@@ -263,9 +263,9 @@
 /// Largest number of loads that started within five seconds, of those from `since` on.
 fn max_loads_in_window(fleet: &TestFleet, since: TimePoint) -> usize {
     let window = Duration::from_secs(5);
-    let begun: Vec<TimePoint> = fleet.loads.iter().copied().filter(|at| *at >= since).collect();
-    let ends = |first: TimePoint| begun.partition_point(|at| *at < first.after(window));
-    begun.iter().enumerate().map(|(index, first)| ends(*first) - index).max().unwrap_or(0)
+    let started: Vec<TimePoint> = fleet.loads.iter().copied().filter(|at| *at >= since).collect();
+    let window_end = |first: TimePoint| started.partition_point(|at| *at < first.after(window));
+    started.iter().enumerate().map(|(index, first)| window_end(*first) - index).max().unwrap_or(0)
 }
 
 /// A large fleet with a weight store that starts five loads a second; loads take `slowness` times
--- a/crates/fleet/tests/director/losses.rs
+++ b/crates/fleet/tests/director/losses.rs
@@ -262,8 +262,8 @@
     fleet.hosts[slow].model.pace = 1.0;
     for _ in 0..3 {
         let serves = |fleet: &TestFleet, host: &usize| {
-            let there = fleet.hosts[*host].model.place.domain == domain;
-            there && *host != slow
+            let in_domain = fleet.hosts[*host].model.place.domain == domain;
+            in_domain && *host != slow
         };
         let next = fleet.grouped().into_iter().find(|host| serves(&fleet, host));
         fleet.hosts[next.expect("a group of the domain serves")].alive = false;
--- a/crates/fleet/tests/director/planner.rs
+++ b/crates/fleet/tests/director/planner.rs
@@ -126,11 +126,14 @@
     let rest: Vec<PoolHost> = (0..3).map(|_| fixture.host("a", Some(LARGE), &[LARGE])).collect();
     let large = vec![fixture.group("b", LARGE, &[SMALL])];
     let small: Vec<PlacedGroup> = (0..4).map(|_| fixture.group("a", SMALL, &[LARGE])).collect();
-    let ends: Vec<GroupId> = small.iter().map(|group| group.group).collect();
+    let candidates: Vec<GroupId> = small.iter().map(|group| group.group).collect();
 
     let action = fixture.next(rest, [large, small], [2.0, 2.0]);
 
-    assert!(matches!(action, Some(PlanAction::End(group)) if ends.contains(&group)), "{action:?}");
+    assert!(
+        matches!(action, Some(PlanAction::End(group)) if candidates.contains(&group)),
+        "{action:?}"
+    );
 }
 
 /// Guards against hosts that move back and forth: both models are short of hosts. If the small one
@@ -279,20 +282,20 @@
 /// Guards against a slow member that stays although a fast host of the domain could replace it, and
 /// against ending the group when the replacement is slow as well.
 #[test]
-fn a_slow_member_is_replaced_only_by_a_quick_host() {
+fn a_slow_member_is_replaced_only_by_a_fast_host() {
     let mut fixture = PoolFixture::new();
     let mut large = fixture.group("a", LARGE, &[SMALL]);
     large.hosts[1].slow = true;
     large.hosts[1].confirmed_slow = true;
-    let ends = large.group;
-    let quick = fixture.host("a", Some(LARGE), &[SMALL]);
-    let slow = PoolHost { slow: true, ..quick.clone() };
+    let group = large.group;
+    let fast = fixture.host("a", Some(LARGE), &[SMALL]);
+    let slow = PoolHost { slow: true, ..fast.clone() };
     let small = vec![fixture.group("b", SMALL, &[LARGE])];
 
-    let replaced = fixture.next(vec![quick], [vec![large.clone()], small.clone()], [1.0, 1.0]);
+    let replaced = fixture.next(vec![fast], [vec![large.clone()], small.clone()], [1.0, 1.0]);
     let kept = fixture.next(vec![slow], [vec![large], small], [1.0, 1.0]);
 
-    assert_eq!(replaced, Some(PlanAction::End(ends)));
+    assert_eq!(replaced, Some(PlanAction::End(group)));
     assert!(!matches!(kept, Some(PlanAction::End(_))), "{kept:?}");
 }
 
@@ -305,11 +308,11 @@
     let mut slow = fixture.group("a", SMALL, &[LARGE]);
     slow.hosts[1].slow = true;
     slow.hosts[1].confirmed_slow = true;
-    let quick = fixture.host("a", Some(SMALL), &[LARGE]);
+    let fast = fixture.host("a", Some(SMALL), &[LARGE]);
     let large = vec![fixture.group("b", LARGE, &[SMALL])];
     let mut view = fixture.view(Vec::new(), [large, vec![slow]], [1.0, 1.0]);
 
-    view.leaving.push(quick);
+    view.leaving.push(fast);
     let action = GroupPlanner::new(view).next();
 
     assert!(!matches!(action, Some(PlanAction::End(_))), "{action:?}");
--- a/crates/fleet/tests/director/seeded.rs
+++ b/crates/fleet/tests/director/seeded.rs
@@ -72,13 +72,13 @@
 
 fn run_seed(seed: u64) {
     let mut fleet = TestFleet::serving(10_000 + seed);
-    let began = fleet.now;
+    let start = fleet.now;
     for _ in 0..20 {
         random_event(&mut fleet);
         let pause = Duration::from_millis(fleet.random.random_range(100..3_000));
         fleet.run_for(pause);
     }
-    check_loads(&fleet, began);
+    check_loads(&fleet, start);
     fleet.faults = OrderFaults::default();
     for host in &mut fleet.hosts {
         host.isolated = false;
@@ -111,12 +111,12 @@
 }
 
 /// Checks that the rate of the weight store holds in every window, across changes of leader too.
-fn check_loads(fleet: &TestFleet, began: briartray_model::TimePoint) {
+fn check_loads(fleet: &TestFleet, start: briartray_model::TimePoint) {
     let mut loads: Vec<_> = fleet
         .hosts
         .iter()
         .flat_map(|host| host.model.loads.iter().copied())
-        .filter(|at| *at >= began)
+        .filter(|at| *at >= start)
         .collect();
     loads.sort();
     for (index, first) in loads.iter().enumerate() {
