--- a/crates/fleet/src/limit/limit_board.rs
+++ b/crates/fleet/src/limit/limit_board.rs
@@ -5,7 +5,7 @@
 
 use briartray_model::names::{IncarnationId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
-use briartray_routing::admission::{HolderId, LimitBook, ShareAsk};
+use briartray_routing::admission::{HolderId, LimitBook, ShareRequest};
 
 use super::terms::lower;
 use super::{EndpointGrant, EndpointRate, LEASE_MARGIN, LimitReport, NamedLimit, SHARE_LEASE};
@@ -180,7 +180,7 @@
         if !self.seat(now, holder, report.demand) {
             return 0;
         }
-        let ask = ShareAsk { nonce, demand: report.demand.0, held: report.held.0, used: 0 };
+        let ask = ShareRequest { nonce, demand: report.demand.0, held: report.held.0, used: 0 };
         self.book.renew(now, holder, &ask).unwrap_or(0)
     }
 
