--- a/crates/fleet/src/deployment/book.rs
+++ b/crates/fleet/src/deployment/book.rs
@@ -1,9 +1,8 @@
-//! The ordered rules that entries decide by.
+//! Lookup of routes and keys in a deployment plan.
 //!
-//! Routes become one list of when-then rules: for each host name the longest prefix first, so
-//! that the first rule that matches is the most specific one. The list is sorted, and a path has
-//! few prefixes that end with a slash, so each of them is looked up by binary search: hundreds
-//! of routes cost no more than ten.
+//! The routes are sorted by host name, and for each host name by prefix length, longest first, so
+//! that the most specific route wins. A path has only a few prefixes that end in a slash, and each
+//! of them is looked up by binary search, so hundreds of routes cost no more than ten.
 
 use std::cmp::Ordering;
 
@@ -12,16 +11,16 @@
 
 use super::{DeploymentPlan, RouteRule, ServiceSpec};
 
-/// What a key opens.
+/// Team and priority that a key gives access to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamAccess {
-    /// The team that holds the key.
+    /// Team that holds the key.
     pub team: TeamName,
-    /// Rank of its requests, when it has one of its own.
+    /// Priority of the team's requests, if it overrides that of the route.
     pub priority: Option<u8>,
 }
 
-/// Rules and keys of one declaration, compiled for lookup.
+/// Routes and keys of one deployment plan, sorted for lookup.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteBook {
     plan: DeploymentPlan,
@@ -29,7 +28,7 @@
 }
 
 impl RouteBook {
-    /// Compiles `plan`, which must have passed its check.
+    /// Sorts the routes and keys of `plan`, which must have passed its check.
     pub fn compile(mut plan: DeploymentPlan) -> Self {
         plan.routes.sort_by(|a, b| place(a).cmp(&place(b)));
         let mut keys = SortedTable::new();
@@ -42,38 +41,38 @@
         Self { plan, keys }
     }
 
-    /// Version of the declaration.
+    /// Version of the deployment plan.
     pub fn version(&self) -> u64 {
         self.plan.version
     }
 
-    /// The declaration.
+    /// The deployment plan.
     pub fn plan(&self) -> &DeploymentPlan {
         &self.plan
     }
 
-    /// The first rule that matches: the longest prefix of `path` under `host`.
+    /// Returns the route with the longest prefix of `path` under `host`.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let ends = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
-        ends.map(|(end, _)| &path[..=end]).find_map(|prefix| self.rule_at(host, prefix))
+        ends.map(|(end, _)| &path[..=end]).find_map(|prefix| self.route_at(host, prefix))
     }
 
-    /// Whether callers need a key.
+    /// Whether callers need a key for requests under `rule`.
     pub fn needs_key(&self, rule: &RouteRule) -> bool {
         !rule.public && !self.plan.teams.is_empty()
     }
 
-    /// Who holds `key`.
+    /// Returns the team that holds `key`.
     pub fn access(&self, key: &str) -> Option<&TeamAccess> {
         self.keys.find(|known| known.as_str().cmp(key))
     }
 
-    /// The declared service called `name`.
+    /// Returns the declared service called `name`.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         self.plan.service(name)
     }
 
-    fn rule_at(&self, host: &str, prefix: &str) -> Option<&RouteRule> {
+    fn route_at(&self, host: &str, prefix: &str) -> Option<&RouteRule> {
         let wanted = (host, std::cmp::Reverse(prefix.len()), prefix);
         let compare = |rule: &RouteRule| -> Ordering { place(rule).cmp(&wanted) };
         let found = self.plan.routes.binary_search_by(compare).ok()?;
@@ -81,7 +80,7 @@
     }
 }
 
-/// Where a rule stands: by host name, then longest prefix first.
+/// Sort key of a route: host name, then prefix length (longest first), then prefix.
 fn place(rule: &RouteRule) -> (&str, std::cmp::Reverse<usize>, &str) {
     (&rule.host, std::cmp::Reverse(rule.prefix.len()), &rule.prefix)
 }
--- a/crates/fleet/src/deployment/mod.rs
+++ b/crates/fleet/src/deployment/mod.rs
@@ -1,4 +1,5 @@
-//! What operators declare: routes, services, teams and limits, and the ordered rules made of them.
+//! The deployment plan that operators submit (routes, services, teams and limits) and lookups in
+//! it.
 
 mod book;
 mod engine;
--- a/crates/fleet/src/deployment/plan.rs
+++ b/crates/fleet/src/deployment/plan.rs
@@ -1,4 +1,4 @@
-//! One complete declaration of an operator, and what makes it invalid.
+//! The deployment plan of an operator and the checks that it must pass.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::limit::EndpointRate;
 
 plain_choice! {
-    /// What may be repeated of a request.
+    /// Whether and how a request may be repeated.
     pub enum RepeatKind {
-        /// It may run any number of times.
+        /// The request may run any number of times.
         Idempotent,
-        /// It may run once.
+        /// The request may run at most once.
         Once,
-        /// Its answer is a stream of numbered events.
+        /// The answer is a stream of numbered events.
         Stream {
-            /// Whether another replica may go on behind the last event that was delivered.
+            /// Whether another replica may resume the stream after the last delivered event.
             resumable: bool,
         },
     }
 }
 
 impl RepeatKind {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may have run can be sent again.
     pub fn may_repeat(self) -> bool {
         self != Self::Once && self != Self::Stream { resumable: false }
     }
@@ -37,46 +37,46 @@
 }
 
 plain_value! {
-    /// A service and its share of a route's requests.
+    /// A service with its weight among the targets of a route.
     pub struct WeightedTarget {
         /// The service.
         pub service: ServiceName,
-        /// Its share, relative to the other targets.
+        /// Relative share of the route's requests.
         pub weight: u32,
     }
 
-    /// One rule: when host name and path prefix match, then these services under these terms.
+    /// A route: requests that match host name and path prefix go to these services on these terms.
     pub struct RouteRule {
-        /// Name of the rule.
+        /// Name of the route.
         pub name: String,
         /// Host name that callers use.
         pub host: String,
-        /// Start of the path; begins and ends with a slash.
+        /// Path prefix; begins and ends with a slash.
         pub prefix: String,
-        /// What may be repeated.
+        /// Whether requests may be repeated.
         pub kind: RepeatKind,
-        /// Longest time a caller is kept waiting.
+        /// Longest time that a caller waits for an answer.
         pub timeout: Duration,
-        /// Time to the first part of an answer that callers expect.
+        /// Target for the time to the first part of an answer.
         pub target_latency: Duration,
-        /// Longest pause between events that callers expect.
+        /// Target for the longest gap between two events of an answer.
         pub target_gap: Option<Duration>,
-        /// Rank; zero is the most urgent.
+        /// Priority; zero is the most urgent.
         pub priority: u8,
-        /// Replicas that one request may be sent to.
+        /// Maximum number of replicas that may run one request.
         pub max_attempts: u32,
-        /// Whether it is served without a key.
+        /// Whether callers need no key.
         pub public: bool,
-        /// Where requests go.
+        /// Services that requests are distributed over.
         pub targets: Vec<WeightedTarget>,
     }
 
-    /// What endpoints of a service take while they are cold.
+    /// Rate limit of the endpoints of a service while they are cold.
     #[derive(Copy)]
     pub struct ColdTerms {
-        /// Requests a second that one takes from all entries together.
+        /// Rate that one endpoint accepts from all entries together.
         pub rate: EndpointRate,
-        /// How long an endpoint is cold after its start.
+        /// Time after its start for which an endpoint is cold.
         pub lasts: Duration,
     }
 
@@ -84,13 +84,13 @@
     pub struct ServiceSpec {
         /// Its name.
         pub name: ServiceName,
-        /// Path that tells whether an endpoint is well.
+        /// Path of the health check.
         pub health_path: String,
-        /// Connections one endpoint accepts from all processes together.
+        /// Connections that one endpoint accepts from all processes together.
         pub max_connections: u32,
-        /// What a cold endpoint takes, where that is less than what it takes later.
+        /// Rate limit of a cold endpoint, if it accepts less than a warm one.
         pub cold: Option<ColdTerms>,
-        /// How its engines work, when it serves models on groups of hosts.
+        /// Capacity and timing of its engines, if it serves models on groups of hosts.
         pub engine: Option<EngineModel>,
     }
 
@@ -100,96 +100,99 @@
         pub name: TeamName,
         /// Keys that its callers present.
         pub keys: Vec<String>,
-        /// Rank of its requests, in place of the route's.
+        /// Priority of the team's requests; overrides that of the route.
         pub priority: Option<u8>,
     }
 
-    /// What a caller may send.
+    /// Limits on what callers may send.
     pub struct CallerLimits {
-        /// Largest head, in bytes.
+        /// Largest request head, in bytes.
         pub max_head_bytes: usize,
-        /// Largest body, in bytes.
+        /// Largest request body, in bytes.
         pub max_body_bytes: usize,
-        /// Time for a head to arrive.
+        /// Time within which a request head must arrive.
         pub head_timeout: Duration,
         /// Time after which an idle connection is closed.
         pub idle_timeout: Duration,
     }
 
-    /// A complete declaration; the one with the highest version is in force.
+    /// A complete deployment plan, the configuration that an operator submits. The plan with the
+    /// highest version is in force.
     pub struct DeploymentPlan {
         /// Its version.
         pub version: u64,
-        /// The routes, as declared.
+        /// Routes, in the order of declaration.
         pub routes: Vec<RouteRule>,
-        /// The services.
+        /// Declared services.
         pub services: Vec<ServiceSpec>,
         /// Limits on callers.
         pub limits: CallerLimits,
-        /// The teams; without any, no key is asked for.
+        /// Teams. If there are none, no key is required.
         pub teams: Vec<TeamKeys>,
     }
 }
 
-/// Why a declaration cannot be put in force.
+/// Reason why a deployment plan is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum PlanProblem {
-    /// The text is not what it should be.
-    #[snafu(display("the configuration cannot be read: {detail}; send it whole"))]
+    /// The text is not a valid configuration.
+    #[snafu(display("the configuration is not valid: {detail}; send a complete one"))]
     Unreadable {
-        /// What is wrong, and where.
+        /// What is invalid, and where.
         detail: String,
     },
-    /// A route names a service that is not declared.
-    #[snafu(display("route {route} names service {service}; declare the service or correct it"))]
+    /// A route refers to a service that is not declared.
+    #[snafu(display(
+        "route {route} names service {service}, which is not declared; declare it or correct the route"
+    ))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service.
+        /// Name of the missing service.
         service: String,
     },
-    /// Two routes match the same requests.
-    #[snafu(display("two routes have host {host} and prefix {prefix}; remove one of them"))]
+    /// Two routes have the same host name and path prefix.
+    #[snafu(display("two routes have host {host} and path prefix {prefix}; remove one of them"))]
     SamePlace {
         /// Host name.
         host: String,
         /// Path prefix.
         prefix: String,
     },
-    /// No request could follow a route.
-    #[snafu(display("the weights of route {route} add up to 0; give one of them a weight"))]
+    /// The weights of a route add up to zero, so none of its requests would have a target.
+    #[snafu(display("the weights of route {route} add up to 0; set at least one to 1 or more"))]
     NoWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// A route would time out at once.
-    #[snafu(display("route {route} has a timeout of 0; give it a longer one"))]
+    /// The timeout of a route is zero.
+    #[snafu(display("the timeout of route {route} is 0; set a longer one"))]
     NoTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
-    /// Two teams could not be told apart.
-    #[snafu(display("teams {first} and {second} share a key; give each its own"))]
+    /// Two teams hold the same key.
+    #[snafu(display("teams {first} and {second} have the same key; give each its own"))]
     SharedKey {
-        /// A team.
+        /// Name of one team.
         first: String,
-        /// Another team.
+        /// Name of the other team.
         second: String,
     },
 }
 
 impl DeploymentPlan {
-    /// Checks the whole declaration.
+    /// Checks the whole plan.
     ///
     /// # Errors
-    /// The first `PlanProblem` found.
+    /// The first `PlanProblem` that is found.
     pub fn check(&self) -> Result<(), PlanProblem> {
         self.routes.iter().try_for_each(|route| self.check_route(route))?;
-        self.check_places()?;
+        self.check_duplicate_routes()?;
         self.check_keys()
     }
 
-    /// The declared service called `name`.
+    /// Returns the declared service called `name`.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         self.services.iter().find(|service| service.name == *name)
     }
@@ -207,11 +210,11 @@
         Ok(())
     }
 
-    fn check_places(&self) -> Result<(), PlanProblem> {
-        let mut places: Vec<(&str, &str)> =
+    fn check_duplicate_routes(&self) -> Result<(), PlanProblem> {
+        let mut route_keys: Vec<(&str, &str)> =
             self.routes.iter().map(|route| (&*route.host, &*route.prefix)).collect();
-        places.sort_unstable();
-        match places.windows(2).find(|pair| pair[0] == pair[1]) {
+        route_keys.sort_unstable();
+        match route_keys.windows(2).find(|pair| pair[0] == pair[1]) {
             Some(pair) => SamePlaceSnafu { host: pair[0].0, prefix: pair[0].1 }.fail(),
             None => Ok(()),
         }
--- a/crates/fleet/src/entry/answer_wait.rs
+++ b/crates/fleet/src/entry/answer_wait.rs
@@ -1,8 +1,8 @@
-//! How long an entry stays with a control host that does not answer its reports.
+//! Timeout after which an entry leaves a control host that gives no useful answer to its reports.
 //!
-//! A control host may be reachable and know nothing: cut off from the others, it names no leader, or one that
-//! is gone. An entry that took any word of it for an answer would stay there under old rules until its lease
-//! ends, while a leader waits elsewhere.
+//! A control host may be reachable but cut off from the other control hosts: it names no leader, or
+//! one that has failed. An entry that accepted any notice from it as an answer would stay with it,
+//! under outdated rules, until its lease ends, although another host leads.
 
 use std::time::Duration;
 
@@ -10,57 +10,59 @@
 
 use crate::message::EntryNotice;
 
-/// Time for which a report may wait for its answer. An election takes up to a second; a host that leads
-/// confirms within two ways and a sync, and tells its news meanwhile.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// Time that a report may wait for its answer. An election takes up to a second. A host that leads
+/// confirms its leadership within two network trips and a disk sync, and sends other notices
+/// meanwhile.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time for which a host that is tried in turn may give no word at all, in the first round: several ways
-/// between near zones. It doubles with each round, so that answers from far regions are waited for as well.
-const SEARCH_PATIENCE: Duration = Duration::from_millis(60);
+/// Time that a host in a search may send nothing at all, in the first round: several network trips
+/// between nearby zones. It doubles with each round, so that answers from distant regions arrive as
+/// well.
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Rounds after which the patience of a search grows no more.
-const SEARCH_ROUNDS: u32 = 4;
+/// Number of rounds after which the timeout of a search no longer grows.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
 
-/// The wait for an answer of one control host.
+/// Timeout for an answer of one control host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerWait {
-    since: Option<TimePoint>,
-    patience: Duration,
+    waiting_since: Option<TimePoint>,
+    timeout: Duration,
 }
 
 impl AnswerWait {
-    /// A conversation with a host that is said to lead begins at `now`.
+    /// Starts at `now`, for a host that is said to be the leader.
     pub fn new(now: TimePoint) -> Self {
-        Self { since: Some(now), patience: PATIENCE }
+        Self { waiting_since: Some(now), timeout: ANSWER_TIMEOUT }
     }
 
-    /// A conversation with the next of the known hosts begins at `now`, after `rounds` in which none of them
-    /// led.
+    /// Starts at `now`, for the next host of a search, after `rounds` rounds in which no known host
+    /// was the leader.
     ///
-    /// Load pattern: everything was stopped at once, and the hosts start again half a second apart. One that
-    /// has no power yet answers nothing, and entries that waited out the time to connect for each of them
-    /// found the leader long after it was elected, while callers waited.
+    /// After a restart of the whole deployment, hosts start about half a second apart, and one
+    /// without power does not answer at all. Entries that waited for a connect timeout on each such
+    /// host found the leader long after its election, while callers waited.
     pub fn searching(now: TimePoint, rounds: u32) -> Self {
-        let patience = SEARCH_PATIENCE * (1 << rounds.min(SEARCH_ROUNDS));
-        Self { since: Some(now), patience: patience.min(PATIENCE) }
+        let timeout = SEARCH_TIMEOUT * (1 << rounds.min(MAX_TIMEOUT_DOUBLINGS));
+        Self { waiting_since: Some(now), timeout: timeout.min(ANSWER_TIMEOUT) }
     }
 
-    /// A report was sent.
+    /// Records that a report was sent.
     pub fn asked(&mut self, now: TimePoint) {
-        self.since.get_or_insert(now);
+        self.waiting_since.get_or_insert(now);
     }
 
-    /// A notice came: only what a leader says is an answer. A host that gives any other word is up, and learns
-    /// of the next leader as soon as there is one.
+    /// Processes a notice. Only a notice of a leader counts as an answer; any other one shows that
+    /// the host is up and will name the next leader as soon as there is one.
     pub fn heard(&mut self, notice: &EntryNotice) {
-        self.patience = PATIENCE;
+        self.timeout = ANSWER_TIMEOUT;
         if notice.nonce.is_some() || notice.leads {
-            self.since = None;
+            self.waiting_since = None;
         }
     }
 
-    /// Whether another control host is to be tried.
+    /// Whether the entry should try another control host.
     pub fn is_over(&self, now: TimePoint) -> bool {
-        self.since.is_some_and(|since| now.since(since) >= self.patience)
+        self.waiting_since.is_some_and(|since| now.since(since) >= self.timeout)
     }
 }
--- a/crates/fleet/src/entry/attempt.rs
+++ b/crates/fleet/src/entry/attempt.rs
@@ -1,50 +1,50 @@
-//! What follows when an attempt has failed.
+//! What follows a failed attempt.
 //!
 //! A request that may have run and must not run twice is never sent again, and the caller is not
-//! told that it has not run. Everything else may go to another replica while time, attempts and
-//! the budget last.
+//! told that it did not run. Any other request may go to another replica while time, attempts and
+//! the retry budget allow.
 
 use crate::deployment::RepeatKind;
 
-/// How an attempt ended without a whole answer.
+/// How an attempt ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Nothing of it left this process, or the replica says that it has not run.
+    /// Nothing was sent, or the replica states that the request did not run.
     NotRun,
-    /// It may have run: the connection died, or no answer came in time.
+    /// The request may have run: the connection broke, or no answer arrived in time.
     MayHaveRun,
-    /// The replica ran it and its answer tells of a failure.
+    /// The replica ran the request and answered with a failure.
     RunFailed,
 }
 
-/// What to do next.
+/// Next step for a request after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextMove {
-    /// Send it to another replica.
+    /// Send the request to another replica.
     SendAgain,
-    /// Tell the caller that it has not run, and when to come back.
+    /// Tell the caller that the request did not run, and when to retry.
     Refuse,
-    /// Tell the caller that the outcome is not known.
+    /// Tell the caller that the outcome is unknown.
     Unknown,
-    /// Pass the replica's own failure on.
+    /// Return the failure answer of the replica to the caller.
     PassOn,
 }
 
-/// What one request may still do.
+/// State of one request between attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptPlan {
-    /// What may be repeated.
+    /// Whether the request may be repeated.
     pub kind: RepeatKind,
-    /// Replicas that may have run it, the attempt that ended counted in.
+    /// Number of replicas that may have run it, including the attempt that just ended.
     pub runs: u32,
-    /// Replicas that may run it.
+    /// Maximum number of replicas that may run it.
     pub max_attempts: u32,
-    /// Whether there is time and budget for another attempt.
+    /// Whether time and retry budget allow another attempt.
     pub may_try: bool,
 }
 
 impl AttemptPlan {
-    /// What follows from `end`.
+    /// Returns the next step after an attempt that ended with `end`.
     pub fn next(&self, end: AttemptEnd) -> NextMove {
         let may_have_run = self.runs > 0 || end != AttemptEnd::NotRun;
         let repeatable = self.kind.may_repeat() || !may_have_run;
@@ -54,7 +54,7 @@
         match end {
             AttemptEnd::RunFailed => NextMove::PassOn,
             AttemptEnd::NotRun if !may_have_run => NextMove::Refuse,
-            // A repeatable request that has run is not refused as though it had not.
+            // A repeatable request that may have run is not reported as one that did not run.
             _ => NextMove::Unknown,
         }
     }
--- a/crates/fleet/src/entry/drain.rs
+++ b/crates/fleet/src/entry/drain.rs
@@ -1,30 +1,31 @@
-//! How long an entry that was told to end still takes requests, and when it cuts off what is left.
+//! Schedule of a graceful shutdown: when an entry stops accepting connections, and when it closes
+//! the remaining ones.
 
 use std::time::Duration;
 
-/// Time in which new connections still come: the balancer asks once a second, and takes an entry out
-/// after two misses.
-const STILL_CHOSEN: Duration = Duration::from_millis(2_700);
+/// Time for which new connections still arrive: the load balancer probes once a second and removes
+/// an entry after two failures.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_700);
 
-/// Part of the grace period after which what still runs is cut off.
-const GRACE_PART: f64 = 0.95;
+/// Fraction of the grace period after which requests that still run are cut off.
+const CUTOFF_GRACE_FRACTION: f64 = 0.95;
 
-/// The times of one planned stop, from the signal on.
+/// Times of a graceful shutdown, counted from the signal.
 ///
-/// A request that is taken late has little of the grace period left: a stream of four seconds that
-/// was taken three seconds after the signal was cut off in the middle, though its caller could have
-/// been served whole elsewhere.
+/// A request that is accepted late has little of the grace period left: a stream of four seconds
+/// that was accepted three seconds after the signal was cut off in the middle, although another
+/// entry could have served it completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainSchedule {
-    /// When it stops to take connections.
+    /// When the entry stops accepting connections.
     pub listen: Duration,
-    /// When it cuts off what still runs.
+    /// When it cuts off requests that still run.
     pub cut: Duration,
 }
 
 impl DrainSchedule {
-    /// The schedule of a stop that may last for `grace`.
+    /// Computes the schedule for a grace period of `grace`.
     pub fn new(grace: Duration) -> Self {
-        Self { listen: STILL_CHOSEN.min(grace / 2), cut: grace.mul_f64(GRACE_PART) }
+        Self { listen: BALANCER_DELAY.min(grace / 2), cut: grace.mul_f64(CUTOFF_GRACE_FRACTION) }
     }
 }
--- a/crates/fleet/src/entry/table.rs
+++ b/crates/fleet/src/entry/table.rs
@@ -1,10 +1,10 @@
-//! Where a request may go, and whether it is taken at all.
+//! Targets of an entry: which one gets a request, and whether the request is admitted.
 //!
-//! A group that runs as many requests as it has slots answers a further one only when another
-//! ends, seconds later: the caller's target is missed and the wait is lost. Such a request is
-//! refused at once, with a time to come back at, while the rest stay on time. A target from which
-//! nothing comes although something waits is left alone: it may lack a member, and every request
-//! sent there would wait out the stall.
+//! A group with all slots in use starts a further request only when another one ends, seconds
+//! later, so the caller's latency target is missed anyway. Such a request is refused at once with a
+//! retry time, and the others stay on time. A target that sends nothing although requests wait
+//! there becomes suspect and gets no new requests: its group may have lost a member, and every
+//! request sent there would wait until the stall ends.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::choice::{Candidate, UsableTarget, draw, least_loaded};
+use super::selection::{TargetCandidate, UsableTarget, select_by_weight, select_least_loaded};
 use super::{LoadSample, TargetLoad};
 use crate::deployment::{RouteBook, RouteRule};
 use crate::limit::{EntryLimits, SendRoom};
@@ -21,90 +21,91 @@
     EndpointView, FleetView, GroupLoad, GroupPulse, GroupView, ViewUpdate, ViewVersion,
 };
 
-/// Silence of a group after which it is left alone, where its engine is not known.
-const SILENT_GROUP: Duration = Duration::from_millis(450);
+/// Silence after which a group becomes suspect if its engine is not known.
+const DEFAULT_SILENCE_LIMIT: Duration = Duration::from_millis(450);
 
-/// Factor on the limit of silence while no request of this entry has seen a byte: the first one
-/// waits for a slot and its prompt.
-const SILENT_FRESH: u32 = 2;
+/// Factor on the silence limit until this entry has received a first byte: the first request waits
+/// for a slot and for its prefill.
+const FIRST_BYTE_FACTOR: u32 = 2;
 
-/// How long a target that failed is left alone before one request tries it.
-const SUSPECT_FOR: Duration = Duration::from_millis(2_000);
+/// Time for which a failed target is suspect, until one request tries it again.
+const SUSPECT_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// Requests for each slot of a plain endpoint that may wait there; one takes 30 ms.
-const PLAIN_QUEUE: f64 = 3.0;
+/// Requests per slot that may be queued at a plain endpoint; one request takes 30 ms.
+const PLAIN_QUEUE_PER_SLOT: f64 = 3.0;
 
-/// Times that a target may count as slower than the quickest one. A group runs at the pace of its
-/// slowest host, which may be a tenth of the usual one for seconds.
-const MOST_SLOWNESS: f64 = 6.0;
+/// Upper bound of the factor by which a target counts as slower than the fastest one. A group runs
+/// at the speed of its slowest host, which may be a tenth of the usual speed for seconds.
+const MAX_SLOWNESS: f64 = 6.0;
 
-/// A target, for as long as it lives.
+/// Identifies a target; never reused.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TargetId {
     /// A group of hosts.
     Group(GroupId),
-    /// An endpoint that serves alone.
+    /// An endpoint that serves without a group.
     Endpoint(IncarnationId),
 }
 
-/// Where a request goes.
+/// Target that was selected for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TargetChoice {
     /// The target.
     pub target: TargetId,
-    /// The endpoint that takes it.
+    /// Endpoint that receives the request.
     pub endpoint: IncarnationId,
-    /// Where that listens.
+    /// Address that the endpoint listens on.
     pub address: String,
 }
 
-/// What a request needs of a target.
+/// Requirements of a request on its target.
 #[derive(Debug, Clone, Copy)]
 pub struct TargetWish<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// The model, where the service serves models.
+    /// The model, if the service serves models.
     pub model: Option<&'a str>,
-    /// Targets it was sent to already.
+    /// Targets that the request was already sent to.
     pub tried: &'a [TargetId],
 }
 
-/// Why there is no target.
+/// Reason why no target was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceRefusal {
-    /// None serves what was asked for.
+    /// No target serves the service and model.
     NoReplica,
-    /// All are as full as they may be.
+    /// All targets are at capacity.
     Full,
-    /// Those with room name limits under which nothing fits now.
+    /// The targets with free capacity have rate limits that allow no request now.
     Limited {
-        /// Time until something fits, as far as is known here.
+        /// Estimated time until a limit allows one.
         wait: Duration,
     },
 }
 
-/// All targets with what this entry knows of them.
+/// All targets of an entry, with its knowledge of their load and limits.
 #[derive(Debug)]
 pub struct TargetTable {
     zone: ZoneName,
     view: FleetView,
-    /// An update of another view came.
-    misfits: bool,
+    /// Whether an update for a different view was received.
+    needs_whole_view: bool,
     loads: SortedTable<TargetId, TargetLoad>,
     leaving: Vec<IncarnationId>,
     limits: EntryLimits,
-    /// A request found no room since the leader has not shared out what a cold endpoint takes.
+    /// Whether a request needs a share of a cold endpoint's rate that the leader does not know of
+    /// yet.
     wants_share: bool,
     random: ChaCha8Rng,
 }
 
 impl TargetTable {
-    /// An empty table of an entry in `zone`.
+    /// Creates an empty table for an entry in `zone`; `seed` seeds the random selection.
     pub fn new(zone: ZoneName, seed: u64) -> Self {
         Self {
             zone,
             view: FleetView::default(),
-            misfits: false,
+            needs_whole_view: false,
             loads: SortedTable::new(),
             leaving: Vec::new(),
             limits: EntryLimits::default(),
@@ -113,20 +114,21 @@
         }
     }
 
-    /// Takes what has changed. Where that is told of another view than the one held here, the next report
-    /// asks for the whole one.
+    /// Applies an update. If the update is for another view than the one held here, the next report
+    /// asks for a whole view.
     pub fn update(&mut self, now: TimePoint, update: ViewUpdate) {
         let updated = self.view.updated(update);
-        self.misfits = updated.is_none();
+        self.needs_whole_view = updated.is_none();
         if let Some(view) = updated {
             self.adopt(now, view);
         }
     }
 
-    /// Takes a newer view.
+    /// Replaces the view.
     ///
-    /// One of a leader that has not heard of all endpoints yet is better than none, as after a
-    /// restart of everything, and worse than what the leader before it knew.
+    /// A partial view, of a leader that has not heard from all endpoints, is better than none, as
+    /// after a restart of the whole deployment, but worse than the complete view of the previous
+    /// leader.
     pub fn adopt(&mut self, now: TimePoint, view: FleetView) {
         if view.partial && self.is_settled() {
             return;
@@ -144,47 +146,47 @@
         });
     }
 
-    /// Takes what the other entries have on the groups.
+    /// Records the requests that the other entries have on the groups.
     pub fn take_loads(&mut self, now: TimePoint, loads: &[GroupLoad]) {
         let known = |group: GroupId| self.view.groups.iter().any(|known| known.group == group);
         let loads: Vec<&GroupLoad> = loads.iter().filter(|load| known(load.group)).collect();
         for load in loads {
             let target = TargetId::Group(load.group);
-            self.load(&target).told_of_others(now, load.others);
+            self.load(&target).record_others(now, load.others);
         }
     }
 
-    /// Takes endpoints that accept no new work; they never come back under the same id.
+    /// Sets the endpoints that accept no new work; their identifiers are never reused.
     pub fn mark_leaving(&mut self, leaving: Vec<IncarnationId>) {
         self.leaving = leaving;
     }
 
-    /// Whether the endpoint takes no new work.
+    /// Whether the endpoint accepts no new work.
     pub fn is_leaving(&self, id: &IncarnationId) -> bool {
         self.leaving.contains(id)
     }
 
-    /// Version of the view; the first one of all where a whole view is wanted.
+    /// Version of the view, for the next report; the default version if a whole view is needed.
     pub fn version(&self) -> ViewVersion {
-        if self.misfits { ViewVersion::default() } else { self.view.version }
+        if self.needs_whole_view { ViewVersion::default() } else { self.view.version }
     }
 
-    /// Whether the view is of a leader that had heard of all endpoints.
+    /// Whether the view is complete: its leader had heard from all endpoints.
     pub fn is_settled(&self) -> bool {
         !self.view.partial && !self.is_empty()
     }
 
-    /// Entries that share limits with this one.
+    /// Number of entries that share limits, including this one.
     pub fn entries(&self) -> usize {
         self.view.entries
     }
 
-    /// Whether anything can be sent anywhere.
+    /// Whether there is no target at all.
     pub fn is_empty(&self) -> bool {
         self.view.endpoints.is_empty() && !self.view.groups.iter().any(|group| group.open)
     }
 
-    /// Whether anything serves `service`, and `model` where it serves models.
+    /// Whether any target serves `service`, and `model` if the service serves models.
     pub fn serves(&self, service: &ServiceName, model: Option<&str>) -> bool {
         let group = |group: &GroupView| {
             group.open && group.service == *service && Some(&*group.model) == model
@@ -193,7 +195,8 @@
         self.view.groups.iter().any(group) || self.view.endpoints.iter().any(endpoint)
     }
 
-    /// The service a request under `rule` goes to, by the weights of the rule.
+    /// Selects the service for a request under `rule`, at random by weight; `None` if all weights
+    /// are zero.
     pub fn pick_service(&mut self, rule: &RouteRule) -> Option<ServiceName> {
         let total: u32 = rule.targets.iter().map(|target| target.weight).sum();
         if total == 0 {
@@ -209,10 +212,10 @@
         None
     }
 
-    /// The target for a request to `service`, for `model` where it serves models.
+    /// Selects the target for a request to `service`, and for `model` if the service serves models.
     ///
     /// # Errors
-    /// A `ChoiceRefusal` when there is none.
+    /// A `ChoiceRefusal` if no target can take the request.
     pub fn choose(
         &mut self,
         now: TimePoint,
@@ -223,11 +226,11 @@
         let engine = book.service(service).and_then(|spec| spec.engine.as_ref());
         let slots = engine.map(|engine| engine.slots as f64);
         let candidates = match (slots, model) {
-            (Some(slots), Some(model)) => self.groups(service, model, slots),
-            (None, _) => self.endpoints(service),
+            (Some(slots), Some(model)) => self.group_candidates(service, model, slots),
+            (None, _) => self.endpoint_candidates(service),
             (Some(_), None) => Vec::new(),
         };
-        let choice = self.best(now, candidates, tried)?;
+        let choice = self.select(now, candidates, tried)?;
         if let Some((engine, spec)) = engine
             .zip(model)
             .and_then(|(engine, model)| engine.model(model).map(|spec| (engine, spec)))
@@ -237,76 +240,78 @@
         Ok(choice)
     }
 
-    /// A request was sent to `target`.
+    /// Records that a request was sent to `target`.
     pub fn begin(&mut self, now: TimePoint, target: &TargetId) {
         self.load(target).begin(now);
     }
 
-    /// The limits that endpoints name.
+    /// Rate limits of the endpoints.
     pub fn limits(&mut self) -> &mut EntryLimits {
         &mut self.limits
     }
 
-    /// Whether a share of what a cold endpoint takes is wanted, of which the leader has not been told.
+    /// Returns and clears whether the leader should be told that a share of a cold endpoint's rate
+    /// is needed.
     pub fn take_wanted_share(&mut self) -> bool {
         std::mem::take(&mut self.wants_share)
     }
 
-    /// A request ended at `target`.
+    /// Records that a request to `target` ended.
     pub fn end(&mut self, now: TimePoint, target: &TargetId) {
         self.load(target).end(now);
     }
 
-    /// Bytes came from `target`.
+    /// Records that bytes arrived from `target`.
     pub fn moved(&mut self, now: TimePoint, target: &TargetId) {
         self.load(target).moved(now);
     }
 
-    /// The first part of an answer came from `target` after `took`.
+    /// Records that the first part of an answer from `target` arrived `took` after the request.
     pub fn first_part(&mut self, now: TimePoint, target: &TargetId, took: Duration) {
         self.load(target).first_part(now, took);
     }
 
-    /// `target` told its load.
+    /// Records the load that `target` reported.
     pub fn sample(&mut self, now: TimePoint, target: &TargetId, sample: LoadSample) {
         self.load(target).sample(now, sample);
     }
 
-    /// `target` failed; it is left alone for a while.
+    /// Records that `target` failed, which makes it suspect for a while.
     pub fn failed(&mut self, now: TimePoint, target: &TargetId) {
-        self.load(target).suspect_until = Some(now.after(SUSPECT_FOR));
+        self.load(target).suspect_until = Some(now.after(SUSPECT_PERIOD));
     }
 
-    /// Groups that have gone silent since the last look; they are left alone from now on.
+    /// Makes groups suspect whose silence exceeds their limit, and returns those that were not
+    /// suspect before.
     pub fn find_silent(&mut self, now: TimePoint) -> Vec<GroupId> {
         let mut silent = Vec::new();
         for (target, load) in self.loads.iter_mut() {
             let TargetId::Group(group) = target else { continue };
-            let limit = load.silence_limit.unwrap_or(SILENT_GROUP);
-            let limit = if load.moved.is_some() { limit } else { limit * SILENT_FRESH };
+            let limit = load.silence_limit.unwrap_or(DEFAULT_SILENCE_LIMIT);
+            let limit = if load.moved.is_some() { limit } else { limit * FIRST_BYTE_FACTOR };
             let quiet = load.silence(now).is_some_and(|silence| silence >= limit);
             if quiet && !load.is_suspect(now) {
-                load.suspect_until = Some(now.after(SUSPECT_FOR));
+                load.suspect_until = Some(now.after(SUSPECT_PERIOD));
                 silent.push(*group);
             }
         }
         silent
     }
 
-    /// Whether nothing more is to be expected of `target`.
+    /// Whether a request on `target` should not wait for it any longer.
     ///
-    /// One that takes no new work is not given up: a group that closes for a planned reason ends
-    /// what runs, and a request that was moved away could find no other place.
+    /// This does not cover targets that accept no new work: a group that closes as planned finishes
+    /// its running requests, and a request moved away from it might find no other target.
     pub fn is_given_up(&self, now: TimePoint, target: &TargetId) -> bool {
         self.loads.get(target).is_some_and(|load| load.is_suspect(now))
     }
 
-    /// Whether something of this entry waits on a target that was given up.
+    /// Whether a request of this entry waits on a suspect target.
     pub fn waits_on_silent(&self, now: TimePoint) -> bool {
         self.loads.values().any(|load| load.own > 0 && load.is_suspect(now))
     }
 
-    /// What this entry saw of the groups.
+    /// Returns what this entry observed of the groups, for its report.
     pub fn pulses(&self, now: TimePoint) -> Vec<GroupPulse> {
         let pulse = |(target, load): (&TargetId, &TargetLoad)| match target {
             TargetId::Group(group) => Some(GroupPulse {
@@ -319,55 +324,60 @@
             }),
             TargetId::Endpoint(_) => None,
         };
-        self.loads.iter().filter(|(_, load)| load.is_news(now)).filter_map(pulse).collect()
+        self.loads.iter().filter(|(_, load)| load.needs_report(now)).filter_map(pulse).collect()
     }
 
     fn load(&mut self, target: &TargetId) -> &mut TargetLoad {
         self.loads.get_or_insert_with(target.clone(), TargetLoad::default)
     }
 
-    fn groups(&self, service: &ServiceName, model: &str, slots: f64) -> Vec<Candidate> {
+    fn group_candidates(
+        &self,
+        service: &ServiceName,
+        model: &str,
+        slots: f64,
+    ) -> Vec<TargetCandidate> {
         let fits = |group: &&GroupView| {
             group.open
                 && group.service == *service
                 && group.model == model
                 && !self.leaving.contains(&group.head)
         };
-        let candidate = |group: &GroupView| Candidate {
+        let candidate = |group: &GroupView| TargetCandidate {
             choice: TargetChoice {
                 target: TargetId::Group(group.group),
                 endpoint: group.head.clone(),
                 address: group.address.clone(),
             },
-            near: group.zone == self.zone,
+            same_zone: group.zone == self.zone,
             slots,
-            shared: true,
+            capacity_shared: true,
         };
         self.view.groups.iter().filter(fits).map(candidate).collect()
     }
 
-    fn endpoints(&self, service: &ServiceName) -> Vec<Candidate> {
+    fn endpoint_candidates(&self, service: &ServiceName) -> Vec<TargetCandidate> {
         let fits = |endpoint: &&EndpointView| {
             endpoint.service == *service && !self.leaving.contains(&endpoint.id)
         };
-        let candidate = |endpoint: &EndpointView| Candidate {
+        let candidate = |endpoint: &EndpointView| TargetCandidate {
             choice: TargetChoice {
                 target: TargetId::Endpoint(endpoint.id.clone()),
                 endpoint: endpoint.id.clone(),
                 address: endpoint.address.clone(),
             },
-            near: endpoint.zone == self.zone,
-            slots: endpoint.slots as f64 * PLAIN_QUEUE,
-            shared: false,
+            same_zone: endpoint.zone == self.zone,
+            slots: endpoint.slots as f64 * PLAIN_QUEUE_PER_SLOT,
+            capacity_shared: false,
         };
         self.view.endpoints.iter().filter(fits).map(candidate).collect()
     }
 
-    /// The candidate to send to: neither tried nor, for groups, left alone.
-    fn best(
+    /// Selects among `candidates` without those already tried and, for groups, suspect ones.
+    fn select(
         &mut self,
         now: TimePoint,
-        candidates: Vec<Candidate>,
+        candidates: Vec<TargetCandidate>,
         tried: &[TargetId],
     ) -> Result<TargetChoice, ChoiceRefusal> {
         let slowness = self.slowness(now, &candidates);
@@ -381,9 +391,12 @@
             let load = self.loads.get(&candidate.choice.target);
             let total = load.map_or(0.0, |load| load.total(now));
             let suspect = load.is_some_and(|load| load.is_suspect(now));
-            // A queue at a plain endpoint is short; one at a group makes every answer late.
+            // A plain endpoint works off its queue quickly; a queue at a group makes every answer
+            // late.
             let room = match load {
-                Some(load) if candidate.shared => load.room(now, candidate.slots, self.entries()),
+                Some(load) if candidate.capacity_shared => {
+                    load.room(now, candidate.slots, self.entries())
+                }
                 _ => candidate.slots - total,
             };
             if room < 1.0 && room <= self.random.random_range(0.0..1.0) {
@@ -392,25 +405,26 @@
             }
             let endpoint = &candidate.choice.endpoint;
             self.wants_share |= self.limits.want(endpoint);
-            let spare = match self.limits.room(now, endpoint) {
+            let surplus = match self.limits.room(now, endpoint) {
                 SendRoom::None { wait } => {
                     limited = Some(limited.map_or(wait, |known| known.min(wait)));
                     continue;
                 }
                 room => room == SendRoom::Spare,
             };
-            usable.push(UsableTarget { candidate, total, slowness, suspect, spare });
+            usable.push(UsableTarget { candidate, total, slowness, suspect, surplus });
         }
-        // What an endpoint takes is used up, or it would stand idle among others that are drawn more often.
-        if usable.iter().any(|target| target.spare && !target.suspect) {
-            usable.retain(|target| target.spare);
+        // Prefer endpoints with a nearly full token bucket, which would otherwise idle beside
+        // others that are selected more often.
+        if usable.iter().any(|target| target.surplus && !target.suspect) {
+            usable.retain(|target| target.surplus);
         }
-        let chosen = if usable.iter().any(|target| target.candidate.shared) {
-            // A silent group holds what it is sent for seconds.
+        let chosen = if usable.iter().any(|target| target.candidate.capacity_shared) {
+            // A request sent to a silent group would be stuck there for seconds.
             usable.retain(|target| !target.suspect);
-            draw(&mut self.random, usable)
+            select_by_weight(&mut self.random, usable)
         } else {
-            least_loaded(&mut self.random, usable)
+            select_least_loaded(&mut self.random, usable)
         };
         let refusal = match limited {
             _ if full => ChoiceRefusal::Full,
@@ -420,13 +434,14 @@
         chosen.map(|target| target.candidate.choice).ok_or(refusal)
     }
 
-    /// How many times slower than the quickest candidate each one is, by its first parts.
-    fn slowness(&self, now: TimePoint, candidates: &[Candidate]) -> Vec<f64> {
-        let first = |candidate: &Candidate| {
-            self.loads.get(&candidate.choice.target).and_then(|load| load.first_now(now))
+    /// Returns the factor by which each candidate is slower than the fastest one, by time to the
+    /// first part.
+    fn slowness(&self, now: TimePoint, candidates: &[TargetCandidate]) -> Vec<f64> {
+        let first = |candidate: &TargetCandidate| {
+            self.loads.get(&candidate.choice.target).and_then(|load| load.recent_first_part(now))
         };
         let quickest = candidates.iter().filter_map(first).fold(f64::INFINITY, f64::min);
         let times = |candidate| first(candidate).map_or(1.0, |took| took / quickest);
-        candidates.iter().map(|candidate| times(candidate).clamp(1.0, MOST_SLOWNESS)).collect()
+        candidates.iter().map(|candidate| times(candidate).clamp(1.0, MAX_SLOWNESS)).collect()
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,10 @@
-//! Serving endpoints that announce themselves: the decisions, without input and output.
+//! Decision logic for a fleet of serving endpoints that register themselves. Nothing here does
+//! input or output.
 //!
-//! [`deployment`] holds what operators declare, [`state`] what control hosts agree on,
-//! [`director`] how the leader forms and mends groups, [`entry`] how a request is admitted, sent
-//! and resumed, [`limit`] what endpoints with a limit get, and [`message`] what entries and control
-//! hosts tell each other.
+//! [`deployment`] holds the deployment plan that operators submit, [`state`] the state that control
+//! hosts replicate, [`director`] how the leader forms and repairs groups, [`entry`] how a request
+//! is admitted, sent and resumed, [`limit`] the rate limits of endpoints, and [`message`] the
+//! messages between entries and control hosts.
 
 pub mod deployment;
 pub mod director;
--- a/crates/fleet/src/limit/entry_limits.rs
+++ b/crates/fleet/src/limit/entry_limits.rs
@@ -1,90 +1,93 @@
-//! The limits of endpoints as one entry knows and keeps them.
+//! Rate limits of endpoints as one entry knows and enforces them.
 
 use std::time::Duration;
 
 use briartray_model::names::IncarnationId;
 use briartray_model::{SortedTable, TimePoint};
 
-use super::terms::lower;
+use super::terms::lower_rate;
 use super::{
-    EndpointGrant, EndpointRate, LimitReport, LimitWord, NamedLimit, SAVED_COLD, SAVED_REQUESTS,
-    SHARE_LEASE, SPARE_FROM, TOLD_FOR,
+    BUCKET_CAPACITY_REQUESTS, COLD_BUCKET_CAPACITY_REQUESTS, EndpointGrant, EndpointRate,
+    LIMIT_REPORTED_FOR, LimitReport, LimitWord, NamedLimit, SHARE_LEASE, SURPLUS_FROM_REQUESTS,
 };
 
-/// Endpoints with a limit that are told of in one report.
-const MAX_REPORTED: usize = 64;
+/// Limit on endpoints in one report.
+const MAX_REPORTED_ENDPOINTS: usize = 64;
 
-/// Time for which an endpoint stays cold at an entry whose new leader has not heard from it: a beat and a half.
-const COLD_UNHEARD: Duration = Duration::from_millis(2_000);
+/// Time for which an endpoint still counts as cold if the view of a new leader does not say so. One
+/// and a half heartbeats: the new leader may not have heard from the endpoint yet.
+const COLD_WITH_NEW_LEADER: Duration = Duration::from_millis(2_000);
 
-/// Time over which demand is smoothed.
-const DEMAND_SPAN: Duration = Duration::from_millis(1_000);
+/// Time constant of the exponential smoothing of demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(1_000);
 
-/// Requests a second below which there is no demand.
-const LEAST_DEMAND: f64 = 0.05;
+/// Demand below this rate, in requests per second, counts as none.
+const MIN_DEMAND_PER_SECOND: f64 = 0.05;
 
-/// Shortest time between two reports that tells a rate.
-const SHORTEST_SPAN: Duration = Duration::from_millis(1);
+/// Shortest time between two reports from which a rate is computed.
+const MIN_REPORT_SPAN: Duration = Duration::from_millis(1);
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendRoom {
-    /// It names no limit.
+    /// The endpoint has no limit.
     Unlimited,
-    /// A request fits under its limit.
+    /// The limit allows a request.
     Fits,
-    /// A request fits, and one that is not sent now is lost to this entry's share.
+    /// The limit allows a request, and the token bucket is nearly full: a token that is not used
+    /// now is lost.
     Spare,
-    /// Nothing fits now.
+    /// The limit allows no request now.
     None {
-        /// Time until something does, as far as is known here.
+        /// Estimated time until it allows one.
         wait: Duration,
     },
 }
 
-/// What an entry knows of one endpoint that names a limit, or did so a moment ago.
+/// What an entry knows of one endpoint that advertises a limit, or did so recently.
 #[derive(Debug, Clone)]
 struct EndpointLimit {
-    /// What this entry heard itself, and when.
+    /// Limit in the latest answer to this entry, and when it arrived.
     heard: Option<(NamedLimit, TimePoint)>,
-    /// The limit that it names.
+    /// Limit that the endpoint advertises.
     limit: Option<EndpointRate>,
-    /// What it takes while it is cold.
+    /// Rate that it accepts while it is cold.
     cold: Option<EndpointRate>,
-    /// Until when it counts as cold although a new leader does not say so.
+    /// End of the cold period if the view of a new leader does not list the endpoint.
     cold_until: Option<TimePoint>,
     share: EndpointRate,
-    /// When the share ends.
-    until: TimePoint,
-    /// Requests that may be sent, as of `counted`.
-    saved: f64,
-    counted: TimePoint,
-    /// Requests that were wanted there since the last report.
+    /// When the share expires.
+    share_until: TimePoint,
+    /// Tokens in the bucket at `tokens_at`.
+    tokens: f64,
+    tokens_at: TimePoint,
+    /// Requests since the last report that could have gone to the endpoint.
     wanted: u32,
-    /// Requests a second that are wanted there, smoothed.
+    /// Smoothed demand, in requests per second.
     demand: f64,
-    /// Share that the last report told of.
-    told_share: EndpointRate,
-    /// A request was wanted there since it became cold.
-    asked_cold: bool,
+    /// Share that the last report named.
+    reported_share: EndpointRate,
+    /// Whether a request could have gone to it since it became cold.
+    wanted_while_cold: bool,
 }
 
-/// A report whose answer may bring shares.
+/// The latest report, whose answer may bring shares.
 #[derive(Debug, Clone, Copy)]
-struct AskedShares {
+struct LatestReport {
     nonce: u64,
-    at: TimePoint,
+    sent_at: TimePoint,
 }
 
 /// All limits that an entry knows of.
 #[derive(Debug, Clone, Default)]
 pub struct EntryLimits {
     endpoints: SortedTable<IncarnationId, EndpointLimit>,
-    asked: Option<AskedShares>,
+    latest_report: Option<LatestReport>,
 }
 
 impl EntryLimits {
-    /// Takes what an answer of `endpoint` says; tells whether the leader should hear of it at once.
+    /// Processes the limit header of an answer from `endpoint`. Returns whether to report it to the
+    /// leader at once.
     pub fn hear(&mut self, now: TimePoint, endpoint: &IncarnationId, word: LimitWord) -> bool {
         let LimitWord::Named(named) = word else { return false };
         let rate = match named {
@@ -98,14 +101,15 @@
         std::mem::replace(&mut known.limit, rate).is_some() != rate.is_some()
     }
 
-    /// Whether a request may be sent to `endpoint`.
+    /// Whether a request may be sent to `endpoint` now.
     pub fn room(&self, now: TimePoint, endpoint: &IncarnationId) -> SendRoom {
         let limited = self.endpoints.get(endpoint).filter(|known| known.rate(now).is_some());
         limited.map_or(SendRoom::Unlimited, |known| known.room(now))
     }
 
-    /// Takes the endpoints that are cold in a view, with what each takes from all entries together. A view of a
-    /// `new_leader` says nothing of those that it has not heard from yet.
+    /// Sets the cold endpoints of a fleet view, each with the rate that it accepts from all entries
+    /// together. The first view of a new leader (`new_leader`) may lack endpoints that the leader
+    /// has not heard from yet.
     pub fn set_cold(
         &mut self,
         now: TimePoint,
@@ -117,81 +121,88 @@
                 continue;
             }
             if new_leader {
-                known.cold_until = Some(now.after(COLD_UNHEARD));
+                known.cold_until = Some(now.after(COLD_WITH_NEW_LEADER));
             }
             known.cold = known.cold.filter(|_| known.cold_until.is_some_and(|until| now < until));
         }
         for (endpoint, rate) in cold.iter() {
             let fresh = || EndpointLimit::new(now);
             let known = self.endpoints.get_or_insert_with(endpoint.clone(), fresh);
-            known.asked_cold &= known.cold.is_some();
+            known.wanted_while_cold &= known.cold.is_some();
             known.cold = Some(*rate);
             known.cold_until = None;
         }
     }
 
-    /// A request would be sent to `endpoint` if it fitted; tells whether the leader should hear of it at once.
+    /// Records that a request could go to `endpoint`, whether or not the limit allows it. Returns
+    /// whether to report to the leader at once.
     pub fn want(&mut self, endpoint: &IncarnationId) -> bool {
         let Some(known) = self.endpoints.get_mut(endpoint) else { return false };
         known.wanted = known.wanted.saturating_add(1);
-        let first = known.cold.is_some() && !std::mem::replace(&mut known.asked_cold, true);
-        first && known.told_share.0 == 0
+        let first = known.cold.is_some() && !std::mem::replace(&mut known.wanted_while_cold, true);
+        first && known.reported_share.0 == 0
     }
 
-    /// A request is sent to `endpoint`.
+    /// Takes a token for a request that is sent to `endpoint`.
     pub fn send(&mut self, now: TimePoint, endpoint: &IncarnationId) {
         if let Some(known) = self.endpoints.get_mut(endpoint) {
-            known.count(now);
-            known.saved = (known.saved - 1.0).max(0.0);
+            known.refill(now);
+            known.tokens = (known.tokens - 1.0).max(0.0);
         }
     }
 
-    /// What the report with `nonce` tells.
+    /// Returns what the report with `nonce` says about limits.
     pub fn report(&mut self, now: TimePoint, nonce: u64) -> Vec<LimitReport> {
-        let before = self.asked.map_or(now, |asked| asked.at);
-        let span = now.since(before).max(SHORTEST_SPAN);
-        self.asked = Some(AskedShares { nonce, at: now });
-        self.endpoints.retain(|_, known| known.rate(now).is_some() || known.told(now).is_some());
+        let before = self.latest_report.map_or(now, |latest_report| latest_report.sent_at);
+        let span = now.since(before).max(MIN_REPORT_SPAN);
+        self.latest_report = Some(LatestReport { nonce, sent_at: now });
+        self.endpoints
+            .retain(|_, known| known.rate(now).is_some() || known.recent_limit(now).is_some());
         let tell = |(endpoint, known): (&IncarnationId, &mut EndpointLimit)| {
             known.smooth_demand(span);
-            known.told_share = known.held(now);
+            known.reported_share = known.held(now);
             LimitReport {
                 endpoint: endpoint.clone(),
-                heard: known.told(now),
+                heard: known.recent_limit(now),
                 known: known.limit,
                 demand: EndpointRate::per_second(known.demand),
-                held: known.told_share,
+                held: known.reported_share,
             }
         };
-        self.endpoints.iter_mut().map(tell).take(MAX_REPORTED).collect()
+        self.endpoints.iter_mut().map(tell).take(MAX_REPORTED_ENDPOINTS).collect()
     }
 
-    /// Takes the answer to the report with `nonce`. Only the newest report counts: the leader reckons that no
-    /// earlier answer is used any more.
+    /// Processes the answer to the report with `nonce`. Only the answer to the newest report
+    /// counts, since the leader assumes that earlier answers are not used any more.
     pub fn grant(&mut self, now: TimePoint, nonce: u64, grants: &[EndpointGrant]) {
-        let Some(asked) = self.asked.filter(|asked| asked.nonce == nonce) else { return };
-        // Endpoints that the leader does not name have no limit, unless one was named here a moment ago.
+        let Some(latest_report) =
+            self.latest_report.filter(|latest_report| latest_report.nonce == nonce)
+        else {
+            return;
+        };
+        // An endpoint that the leader does not list has no limit, unless it advertised one to this
+        // entry recently.
         let granted = |id: &IncarnationId| grants.iter().any(|grant| grant.endpoint == *id);
         for (endpoint, known) in self.endpoints.iter_mut() {
-            if !granted(endpoint) && !known.heard_limit(now) {
+            if !granted(endpoint) && !known.heard_limit_recently(now) {
                 known.limit = None;
             }
         }
         for grant in grants {
             let fresh = || EndpointLimit::new(now);
             let known = self.endpoints.get_or_insert_with(grant.endpoint.clone(), fresh);
-            known.count(now);
-            // Somebody else may have a share that has ended meanwhile.
-            let lapsed = known.told_share.0 > 0 && now >= known.until;
+            known.refill(now);
+            // If the share has expired, the leader may have given it to another entry.
+            let lapsed = known.reported_share.0 > 0 && now >= known.share_until;
             known.share = if lapsed { EndpointRate::default() } else { grant.share };
-            known.until = asked.at.after(SHARE_LEASE);
-            if known.heard.is_none_or(|(_, at)| at <= asked.at) {
+            known.share_until = latest_report.sent_at.after(SHARE_LEASE);
+            if known.heard.is_none_or(|(_, at)| at <= latest_report.sent_at) {
                 known.limit = grant.limit;
             }
         }
     }
 
-    /// Endpoints that name a limit or are cold, as far as is known here.
+    /// Number of endpoints that are known to advertise a limit or to be cold.
     pub fn limited(&self, now: TimePoint) -> usize {
         self.endpoints.values().filter(|known| known.rate(now).is_some()).count()
     }
@@ -204,80 +215,84 @@
             limit: None,
             cold: None,
             cold_until: None,
-            asked_cold: false,
+            wanted_while_cold: false,
             share: EndpointRate::default(),
-            until: now,
-            saved: 0.0,
-            counted: now,
+            share_until: now,
+            tokens: 0.0,
+            tokens_at: now,
             wanted: 0,
             demand: 0.0,
-            told_share: EndpointRate::default(),
+            reported_share: EndpointRate::default(),
         }
     }
 
-    /// What it takes from all entries together.
+    /// Rate that it accepts from all entries together.
     fn rate(&self, now: TimePoint) -> Option<EndpointRate> {
-        lower(self.limit, self.cold_rate(now))
+        lower_rate(self.limit, self.cold_rate(now))
     }
 
-    /// What it takes while it is cold.
+    /// Rate that it accepts while it is cold.
     fn cold_rate(&self, now: TimePoint) -> Option<EndpointRate> {
         self.cold.filter(|_| self.cold_until.is_none_or(|until| now < until))
     }
 
-    /// Requests that may be saved up.
-    fn most_saved(&self, now: TimePoint) -> f64 {
-        if self.cold_rate(now).is_some() { SAVED_COLD } else { SAVED_REQUESTS }
+    /// Capacity of the token bucket.
+    fn bucket_capacity(&self, now: TimePoint) -> f64 {
+        if self.cold_rate(now).is_some() {
+            COLD_BUCKET_CAPACITY_REQUESTS
+        } else {
+            BUCKET_CAPACITY_REQUESTS
+        }
     }
 
-    /// What was heard of it lately, and how long ago.
-    fn told(&self, now: TimePoint) -> Option<(NamedLimit, u64)> {
+    /// Limit that was heard recently, with its age in milliseconds.
+    fn recent_limit(&self, now: TimePoint) -> Option<(NamedLimit, u64)> {
         let (named, at) = self.heard?;
         let age = now.since(at);
         let millis = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        (age < TOLD_FOR).then_some((named, millis))
+        (age < LIMIT_REPORTED_FOR).then_some((named, millis))
     }
 
-    /// Whether an answer to this entry named a limit a moment ago.
-    fn heard_limit(&self, now: TimePoint) -> bool {
-        matches!(self.told(now), Some((NamedLimit::Rate(_), _)))
+    /// Whether an answer to this entry advertised a limit recently.
+    fn heard_limit_recently(&self, now: TimePoint) -> bool {
+        matches!(self.recent_limit(now), Some((NamedLimit::Rate(_), _)))
     }
 
     fn smooth_demand(&mut self, span: Duration) {
         let rate = f64::from(std::mem::take(&mut self.wanted)) / span.as_secs_f64();
-        let kept = (-span.as_secs_f64() / DEMAND_SPAN.as_secs_f64()).exp();
+        let kept = (-span.as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
         let demand = rate + (self.demand - rate) * kept;
-        self.demand = if demand < LEAST_DEMAND { 0.0 } else { demand };
+        self.demand = if demand < MIN_DEMAND_PER_SECOND { 0.0 } else { demand };
     }
 
     fn held(&self, now: TimePoint) -> EndpointRate {
-        if now < self.until { self.share } else { EndpointRate::default() }
+        if now < self.share_until { self.share } else { EndpointRate::default() }
     }
 
-    /// Requests that may be sent at `now`.
-    fn saved_at(&self, now: TimePoint) -> f64 {
-        let used = now.min(self.until).since(self.counted).as_secs_f64();
-        (self.saved + used * self.share.as_per_second()).min(self.most_saved(now))
+    /// Tokens in the bucket at `now`.
+    fn tokens_now(&self, now: TimePoint) -> f64 {
+        let used = now.min(self.share_until).since(self.tokens_at).as_secs_f64();
+        (self.tokens + used * self.share.as_per_second()).min(self.bucket_capacity(now))
     }
 
-    fn count(&mut self, now: TimePoint) {
-        // What was saved under a share that has ended is lost with it: another entry may have it now.
-        self.saved = if now < self.until { self.saved_at(now) } else { 0.0 };
-        self.counted = now;
+    fn refill(&mut self, now: TimePoint) {
+        // Tokens expire with their share, which another entry may hold now.
+        self.tokens = if now < self.share_until { self.tokens_now(now) } else { 0.0 };
+        self.tokens_at = now;
     }
 
     fn room(&self, now: TimePoint) -> SendRoom {
         let share = self.held(now).as_per_second();
-        let saved = if now < self.until { self.saved_at(now) } else { 0.0 };
-        if saved >= SPARE_FROM {
+        let tokens = if now < self.share_until { self.tokens_now(now) } else { 0.0 };
+        if tokens >= SURPLUS_FROM_REQUESTS {
             SendRoom::Spare
-        } else if saved >= 1.0 {
+        } else if tokens >= 1.0 {
             SendRoom::Fits
         } else {
-            // Without a share, a request of some entry fits after this time.
+            // Without a share of its own, the entry waits until the whole limit allows one request.
             let limit = self.rate(now).unwrap_or_default().shared().as_per_second();
             let rate = if share > 0.0 { share } else { limit };
-            SendRoom::None { wait: Duration::from_secs_f64((1.0 - saved) / rate) }
+            SendRoom::None { wait: Duration::from_secs_f64((1.0 - tokens) / rate) }
         }
     }
 }
--- a/crates/fleet/src/limit/limit_board.rs
+++ b/crates/fleet/src/limit/limit_board.rs
@@ -1,4 +1,4 @@
-//! The limits of endpoints as the leader shares them out.
+//! Allocation of endpoint limits to entries, on the leader.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -7,59 +7,61 @@
 use briartray_model::{SortedTable, TimePoint};
 use briartray_routing::admission::{HolderId, LimitBook, ShareAsk};
 
-use super::terms::lower;
+use super::terms::lower_rate;
 use super::{EndpointGrant, EndpointRate, LEASE_MARGIN, LimitReport, NamedLimit, SHARE_LEASE};
 
-/// Endpoints with a limit that are kept.
-const MAX_LIMITED: usize = 256;
+/// Limit on tracked endpoints with a limit.
+const MAX_TRACKED_ENDPOINTS: usize = 256;
 
-/// Endpoints with a limit that an entry is told of beyond those that it reports: about 2 KB in a notice.
-const MAX_TOLD: usize = 64;
+/// Limit on endpoints that an entry is told of without having reported them: about 2 KB in a
+/// notice.
+const MAX_UNREPORTED_GRANTS: usize = 64;
 
-/// Time without a word of any entry after which an endpoint is forgotten.
+/// Time after the last report about an endpoint until it is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// Time without demand after which an entry makes room for another one. It is longer than the time over which an
-/// endpoint counts, so what both have saved up is not sent at once.
-const SENDER_IDLE: Duration = Duration::from_secs(5);
+/// Time without demand after which an entry gives its place to another one. It is longer than the
+/// window over which an endpoint counts requests, so the tokens of both entries never fall into one
+/// window.
+const SENDER_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An entry that may send to an endpoint with a limit.
 #[derive(Debug)]
 struct LimitSender {
     holder: HolderId,
-    /// When it had something to send.
-    wanted: TimePoint,
+    /// When it last reported demand.
+    last_demand: TimePoint,
 }
 
-/// One endpoint that names a limit, or did so a moment ago.
+/// Allocation for one endpoint that advertises a limit, or did so recently.
 #[derive(Debug)]
-struct BoardEndpoint {
-    /// The limit that it names.
+struct EndpointAllocation {
+    /// Limit that the endpoint advertises.
     limit: Option<EndpointRate>,
-    /// What it takes while it is cold.
+    /// Rate that it accepts while it is cold.
     cold: Option<EndpointRate>,
-    /// When the endpoint named its limit, or none.
-    said: TimePoint,
-    /// When an entry spoke of it last.
+    /// When the endpoint advertised its current limit, or none.
+    advertised_at: TimePoint,
+    /// When an entry last reported on it.
     heard: TimePoint,
     book: LimitBook,
     senders: Vec<LimitSender>,
 }
 
-/// All limits that a leader knows of.
+/// Allocations for all endpoints with a limit that the leader knows of.
 #[derive(Debug, Default)]
 pub struct LimitBoard {
     since: TimePoint,
-    endpoints: SortedTable<IncarnationId, BoardEndpoint>,
+    endpoints: SortedTable<IncarnationId, EndpointAllocation>,
 }
 
 impl LimitBoard {
-    /// The board of a leader that begins at `now`.
+    /// Creates the state of a leader whose term begins at `now`.
     pub fn new(now: TimePoint) -> Self {
         Self { since: now, endpoints: SortedTable::new() }
     }
 
-    /// Takes what an entry reports and answers with its shares, and with limits that it does not know of.
+    /// Processes the reports of an entry. Returns its shares, and limits that it has not reported.
     pub fn renew(
         &mut self,
         now: TimePoint,
@@ -70,19 +72,19 @@
         self.endpoints.retain(|_, known| now.since(known.heard) < FORGET_AFTER);
         let holder = holder_of(entry);
         for report in reports {
-            self.take(now, report);
+            self.record_report(now, report);
         }
         let mut grants = Vec::new();
-        let mut untold = MAX_TOLD;
+        let mut unreported_left = MAX_UNREPORTED_GRANTS;
         for (endpoint, known) in self.endpoints.iter_mut() {
             if known.rate().is_none() {
                 continue;
             }
             let share = match reports.iter().find(|report| report.endpoint == *endpoint) {
                 Some(report) => known.share(now, holder, nonce, report),
-                None if untold == 0 => continue,
+                None if unreported_left == 0 => continue,
                 None => {
-                    untold -= 1;
+                    unreported_left -= 1;
                     0
                 }
             };
@@ -92,118 +94,120 @@
         grants
     }
 
-    /// Takes the endpoints that are cold now, with what each takes.
+    /// Sets the cold endpoints, each with the rate that it accepts.
     pub fn set_cold(&mut self, now: TimePoint, cold: &SortedTable<IncarnationId, EndpointRate>) {
         for (endpoint, known) in self.endpoints.iter_mut() {
             known.set_cold(cold.get(endpoint).copied());
         }
         let since = self.since;
         for (endpoint, rate) in cold.iter() {
-            let fresh = || BoardEndpoint::new(now, since, None);
+            let fresh = || EndpointAllocation::new(now, since, None);
             let known = self.endpoints.get_or_insert_with(endpoint.clone(), fresh);
             known.heard = now;
             known.set_cold(Some(*rate));
         }
     }
 
-    /// Endpoints that name a limit.
+    /// Number of endpoints that advertise a limit.
     pub fn limited(&self) -> usize {
         self.endpoints.values().filter(|known| known.limit.is_some()).count()
     }
 
-    fn take(&mut self, now: TimePoint, report: &LimitReport) {
+    fn record_report(&mut self, now: TimePoint, report: &LimitReport) {
         let known = self.endpoints.contains_key(&report.endpoint);
         let tells = report.heard.is_some() || report.known.is_some();
-        if !known && (self.endpoints.len() >= MAX_LIMITED || !tells) {
+        if !known && (self.endpoints.len() >= MAX_TRACKED_ENDPOINTS || !tells) {
             return;
         }
         let since = self.since;
-        let fresh = || BoardEndpoint::new(now, since, report.known);
+        let fresh = || EndpointAllocation::new(now, since, report.known);
         let known = self.endpoints.get_or_insert_with(report.endpoint.clone(), fresh);
         known.heard = now;
         if let Some((named, age)) = report.heard {
-            known.say(now, named, Duration::from_millis(age));
+            known.record_limit(now, named, Duration::from_millis(age));
         }
     }
 }
 
-impl BoardEndpoint {
-    /// An endpoint that the leader hears of for the first time, with the limit that an entry knows of.
+impl EndpointAllocation {
+    /// Creates the allocation for an endpoint, with the limit that an entry knows.
     fn new(now: TimePoint, leader_since: TimePoint, limit: Option<EndpointRate>) -> Self {
         let lease = SHARE_LEASE + LEASE_MARGIN;
-        // Shares of an earlier leader may still be held at first; later nobody has any.
-        let opened = if now.since(leader_since) < lease { now } else { TimePoint::default() };
+        // Shares of an earlier leader may still be in use at first; after one lease none is.
+        let opened_at = if now.since(leader_since) < lease { now } else { TimePoint::default() };
         Self {
             limit,
             cold: None,
-            said: TimePoint::default(),
+            advertised_at: TimePoint::default(),
             heard: now,
-            book: LimitBook::open(opened, limit.unwrap_or_default().shared().0, lease),
+            book: LimitBook::open(opened_at, limit.unwrap_or_default().shared().0, lease),
             senders: Vec::new(),
         }
     }
 
-    /// The endpoint named `limit` before `age`. Answers overtake each other on their way through entries.
-    fn say(&mut self, now: TimePoint, named: NamedLimit, age: Duration) {
-        // Ahead of the clock by as long as reports tell of an answer: the leader may have just started.
-        let said = now.after(super::TOLD_FOR.saturating_sub(age));
-        if said < self.said {
+    /// Records that the endpoint advertised `named`, `age` ago. Reports arrive out of order, since
+    /// each entry passes on answers at its own time.
+    fn record_limit(&mut self, now: TimePoint, named: NamedLimit, age: Duration) {
+        // Shifted by the reporting period, since a leader that has just started has a clock near
+        // zero.
+        let advertised_at = now.after(super::LIMIT_REPORTED_FOR.saturating_sub(age));
+        if advertised_at < self.advertised_at {
             return;
         }
-        self.said = said;
+        self.advertised_at = advertised_at;
         self.limit = match named {
             NamedLimit::Rate(rate) => Some(rate),
             NamedLimit::Open => None,
         };
-        self.set_book();
+        self.update_limit();
     }
 
     fn set_cold(&mut self, cold: Option<EndpointRate>) {
         if self.cold != cold {
             self.cold = cold;
-            self.set_book();
+            self.update_limit();
         }
     }
 
-    /// What it takes from all entries together.
+    /// Rate that it accepts from all entries together.
     fn rate(&self) -> Option<EndpointRate> {
-        lower(self.limit, self.cold)
+        lower_rate(self.limit, self.cold)
     }
 
-    fn set_book(&mut self) {
+    fn update_limit(&mut self) {
         self.book.set_limit(self.rate().unwrap_or_default().shared().0);
     }
 
-    /// The share of `holder`, in thousandths of a request a second.
+    /// Returns the share of `holder`, in thousandths of a request per second.
     fn share(&mut self, now: TimePoint, holder: HolderId, nonce: u64, report: &LimitReport) -> u64 {
         self.book.expire(now);
-        if !self.seat(now, holder, report.demand) {
+        if !self.admit_sender(now, holder, report.demand) {
             return 0;
         }
         let ask = ShareAsk { nonce, demand: report.demand.0, held: report.held.0, used: 0 };
         self.book.renew(now, holder, &ask).unwrap_or(0)
     }
 
-    /// Whether `holder` is one of the entries that may send.
-    fn seat(&mut self, now: TimePoint, holder: HolderId, demand: EndpointRate) -> bool {
-        self.senders.retain(|sender| now.since(sender.wanted) < SENDER_IDLE);
+    /// Whether `holder` is among the entries that may send; admits it if there is a place.
+    fn admit_sender(&mut self, now: TimePoint, holder: HolderId, demand: EndpointRate) -> bool {
+        self.senders.retain(|sender| now.since(sender.last_demand) < SENDER_IDLE_TIMEOUT);
         let seats = self.seats();
         self.senders.truncate(seats);
         let wants = demand.0 > 0;
         if let Some(sender) = self.senders.iter_mut().find(|sender| sender.holder == holder) {
-            sender.wanted = if wants { now } else { sender.wanted };
+            sender.last_demand = if wants { now } else { sender.last_demand };
             return true;
         }
         let seated = wants && self.senders.len() < seats;
         if seated {
-            self.senders.push(LimitSender { holder, wanted: now });
+            self.senders.push(LimitSender { holder, last_demand: now });
         }
         seated
     }
 
-    /// Entries that may hold a share at one time: one, and one for each request a second. What they may all have
-    /// saved up then stays within half of what the limit allows in some seconds. A cold endpoint is counted over
-    /// one second, and gets half as many.
+    /// Number of entries that may hold a share at one time: one, plus one for each request per
+    /// second. The tokens of all of them then stay within half of what the limit allows in some
+    /// seconds. The rate of a cold endpoint is measured over one second, so it gets half as many.
     fn seats(&self) -> usize {
         let rate = self.rate().unwrap_or_default().as_per_second();
         let seats = if self.cold.is_some() { rate / 2.0 } else { rate };
@@ -212,7 +216,7 @@
     }
 }
 
-/// The holder that an entry is in the books.
+/// Identifier of an entry in the allocations.
 fn holder_of(entry: &NodeName) -> HolderId {
     let mut hasher = DefaultHasher::new();
     entry.as_str().hash(&mut hasher);
--- a/crates/fleet/src/limit/mod.rs
+++ b/crates/fleet/src/limit/mod.rs
@@ -1,11 +1,13 @@
-//! Endpoints that take only so many requests a second from all entries together: they name a limit, or are cold.
+//! Rate limits of endpoints that all entries together must respect: endpoints advertise a limit, or
+//! are cold.
 //!
-//! A rate that each entry keeps by itself adds up to as many times the limit as there are entries. So the leader
-//! leases shares of it: entries tell what endpoints named and how much they would send there
-//! ([`EntryLimits`]), and the leader's [`LimitBoard`] hands out shares that never add up to more than the limit.
-//! Only a few entries hold a share of a small limit at a time, since each may save up a request or two. An
-//! entry without a share sends nothing to the endpoint. What cold endpoints take is shared out in the same way;
-//! which they are is part of the view, so that no entry sends to a cold endpoint before it knows.
+//! If each entry kept to the limit on its own, the total would be the limit times the number of
+//! entries. Instead the leader leases shares of it: entries report the advertised limits and their
+//! own demand ([`EntryLimits`]), and the leader's [`LimitBoard`] hands out shares that never add up
+//! to more than the limit. Only a few entries hold a share of a small limit at a time, since each
+//! may accumulate a token or two. An entry without a share sends nothing to the endpoint. The rates
+//! of cold endpoints are shared in the same way; the fleet view names the cold endpoints, so that
+//! no entry sends to one before it knows that it is cold.
 
 mod entry_limits;
 mod limit_board;
@@ -17,21 +19,23 @@
 pub use limit_board::LimitBoard;
 pub use terms::{EndpointGrant, EndpointRate, LimitReport, LimitWord, NamedLimit};
 
-/// Time from its report for which an entry may use a share. Longer than an election, so that a change of leader
-/// stops nobody.
+/// Lifetime of a share, counted from the entry's report. It is longer than an election, so that no
+/// entry has to stop when the leader changes.
 const SHARE_LEASE: Duration = Duration::from_millis(2_000);
 
-/// What a leader waits longer, against clocks that run at different speeds.
+/// Extra time that the leader waits before it reuses a share, for clocks that run at different
+/// speeds.
 const LEASE_MARGIN: Duration = Duration::from_millis(200);
 
-/// Time for which what an endpoint named is told with each report.
-const TOLD_FOR: Duration = Duration::from_millis(2_000);
+/// Time for which an entry repeats an advertised limit in its reports.
+const LIMIT_REPORTED_FOR: Duration = Duration::from_millis(2_000);
 
-/// Requests that an entry may save up while it has none for the endpoint.
-const SAVED_REQUESTS: f64 = 2.0;
+/// Capacity of an entry's token bucket for an endpoint, in requests.
+const BUCKET_CAPACITY_REQUESTS: f64 = 2.0;
 
-/// As above for a cold endpoint, which is counted over one second only.
-const SAVED_COLD: f64 = 1.0;
+/// Bucket capacity for a cold endpoint, whose rate is measured over one second only.
+const COLD_BUCKET_CAPACITY_REQUESTS: f64 = 1.0;
 
-/// Saved requests from which the next one is sent where they are saved: more would be lost.
-const SPARE_FROM: f64 = 1.5;
+/// Number of tokens from which the next request goes to the endpoint, since further tokens would be
+/// lost.
+const SURPLUS_FROM_REQUESTS: f64 = 1.5;
--- a/crates/fleet/src/limit/terms.rs
+++ b/crates/fleet/src/limit/terms.rs
@@ -1,89 +1,91 @@
-//! What endpoints, entries and the leader say of limits.
+//! Rates, advertised limits, and the messages about them between entries and the leader.
 
 use briartray_model::names::IncarnationId;
 use briartray_model::{plain_choice, plain_value};
 
-/// Thousandths of a request a second in one request a second.
-const MILLI: f64 = 1e3;
+/// Factor from requests per second to thousandths of a request per second.
+const MILLIS_PER_UNIT: f64 = 1e3;
 
-/// Least rate at which an endpoint is asked: whether it still names a limit shows in its answers only, so one that
-/// names next to nothing gets a request every four seconds.
-const LEAST_RATE: EndpointRate = EndpointRate(250);
+/// Smallest rate that is shared out. Only its answers show whether an endpoint still advertises a
+/// limit, so an endpoint with a limit near zero gets one request every four seconds.
+const MIN_SHARED_RATE: EndpointRate = EndpointRate(250);
 
-/// Largest rate that is told from others: more than any endpoint takes.
-const LARGEST_RATE: EndpointRate = EndpointRate(1_000_000_000);
+/// Largest rate that is represented; more than any endpoint accepts.
+const MAX_RATE: EndpointRate = EndpointRate(1_000_000_000);
 
 plain_choice! {
-    /// Requests a second, in thousandths.
+    /// A rate, in thousandths of a request per second.
     #[derive(Default)]
     pub struct EndpointRate(pub u64);
 }
 
 plain_choice! {
-    /// What an endpoint says of its limit.
+    /// Limit that an endpoint advertises.
     pub enum NamedLimit {
-        /// It takes this many.
+        /// The endpoint accepts this rate.
         Rate(EndpointRate),
-        /// It names none.
+        /// The endpoint advertises no limit.
         Open,
     }
 }
 
-/// What one answer says of its endpoint's limit.
+/// Content of the limit header of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitWord {
-    /// It says something.
+    /// A valid value.
     Named(NamedLimit),
-    /// It says something that does not read: what was known before still holds.
+    /// An invalid value; the limit known before still holds.
     Unreadable,
 }
 
 plain_value! {
-    /// What an entry tells of one endpoint that names a limit, or did so a moment ago.
+    /// Report of an entry about an endpoint that advertises a limit, or did so recently.
     pub struct LimitReport {
         /// The endpoint.
         pub endpoint: IncarnationId,
-        /// What it named in an answer to this entry, and how long ago in milliseconds.
+        /// Limit that the endpoint advertised in an answer to this entry, with its age in
+        /// milliseconds.
         pub heard: Option<(NamedLimit, u64)>,
-        /// The limit that this entry knows of: a new leader knows none, and would take the endpoint for unlimited.
+        /// Limit that this entry knows. A new leader knows no limits and would treat the endpoint
+        /// as unlimited.
         pub known: Option<EndpointRate>,
-        /// What this entry would send there.
+        /// Rate at which this entry would send to the endpoint.
         pub demand: EndpointRate,
-        /// The share that this entry holds.
+        /// Share that this entry holds.
         pub held: EndpointRate,
     }
 
-    /// What the leader tells an entry of one endpoint that names a limit.
+    /// Grant of the leader to an entry, for an endpoint with a limit.
     pub struct EndpointGrant {
         /// The endpoint.
         pub endpoint: IncarnationId,
-        /// The limit that it names; a cold endpoint may name none.
+        /// Limit that the endpoint advertises; `None` for a cold endpoint that advertises none.
         pub limit: Option<EndpointRate>,
-        /// What this entry may send of that.
+        /// Part of the limit that this entry may use.
         pub share: EndpointRate,
     }
 }
 
 impl EndpointRate {
-    /// The rate of `per_second` requests a second.
+    /// Converts from requests per second; limited to the largest rate.
     pub fn per_second(per_second: f64) -> Self {
-        // The cast saturates, and takes what is no number for zero.
-        Self((per_second * MILLI) as u64).min(LARGEST_RATE)
+        // The cast saturates and turns NaN into zero.
+        Self((per_second * MILLIS_PER_UNIT) as u64).min(MAX_RATE)
     }
 
-    /// Requests a second.
+    /// Converts to requests per second.
     pub fn as_per_second(self) -> f64 {
-        self.0 as f64 / MILLI
+        self.0 as f64 / MILLIS_PER_UNIT
     }
 
-    /// The rate that is shared out under this limit.
+    /// Rate that is shared out under this limit.
     pub(super) fn shared(self) -> Self {
-        self.max(LEAST_RATE)
+        self.max(MIN_SHARED_RATE)
     }
 }
 
-/// The lower of two limits, where there are any.
-pub(super) fn lower(a: Option<EndpointRate>, b: Option<EndpointRate>) -> Option<EndpointRate> {
+/// Returns the lower of two optional limits.
+pub(super) fn lower_rate(a: Option<EndpointRate>, b: Option<EndpointRate>) -> Option<EndpointRate> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
@@ -91,7 +93,7 @@
 }
 
 impl LimitWord {
-    /// Reads a decimal number of requests a second.
+    /// Parses the header value, a decimal number of requests per second.
     pub fn read(text: &str) -> Self {
         let text = text.trim();
         let decimal = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
--- a/crates/fleet/src/message/mod.rs
+++ b/crates/fleet/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! What entries and control hosts tell each other.
+//! Messages between entries and control hosts, and between control hosts.
 
 mod view;
 mod view_history;
@@ -16,123 +16,130 @@
 use crate::state::StoredPlan;
 
 plain_value! {
-    /// What an entry saw of one group since its last report.
+    /// What an entry observed of one group since its previous report.
     pub struct GroupPulse {
         /// The group.
         pub group: GroupId,
-        /// Time since its last byte here, in milliseconds; `None` without any.
+        /// Time since this entry received the group's last byte, in milliseconds; `None` if it
+        /// received none.
         pub quiet_ms: Option<u64>,
-        /// Requests of this entry that wait on it.
+        /// Requests of this entry that the group has not finished.
         pub running: u32,
-        /// Whether this entry has stopped sending to it because it does not answer.
+        /// Whether this entry has stopped sending to the group because the group does not respond.
         pub suspect: bool,
     }
 
-    /// Requests on one group that are not the reader's own.
+    /// Requests on one group, without those of the entry that receives this message.
     pub struct GroupLoad {
         /// The group.
         pub group: GroupId,
-        /// Requests that all other entries have there.
+        /// Requests that all other entries have on the group.
         pub others: u32,
     }
 
-    /// How much of a model callers asked for since the last report.
+    /// Work that callers requested of one model since the previous report.
     pub struct ModelDemand {
         /// The service.
         pub service: ServiceName,
         /// The model.
         pub model: String,
-        /// What was asked for.
+        /// Totals of the requested work.
         pub sum: WorkSum,
     }
 
-    /// Work of several requests, added up.
+    /// Totals over the work of several requests.
     #[derive(Copy, Default)]
     pub struct WorkSum {
-        /// Time of one group's work, in milliseconds.
+        /// Time that one group needs for the work, in milliseconds.
         pub work_ms: f64,
-        /// Requests.
+        /// Number of requests.
         pub requests: f64,
-        /// Time to read their prompts, in milliseconds.
+        /// Time to prefill the prompts, in milliseconds.
         pub reading_ms: f64,
-        /// Squares of these times, in square milliseconds: they tell how much prompts differ.
+        /// Sum of the squared prefill times, in square milliseconds; gives their variance.
         pub reading_squares: f64,
-        /// Events of their answers, as far as can be told ahead.
+        /// Estimated number of events in the answers.
         pub events: f64,
-        /// Time to the first part that their callers expect, in milliseconds.
+        /// Sum of the callers' targets for the time to the first part of an answer, in
+        /// milliseconds.
         pub target_ms: f64,
-        /// Longest pause between events that their callers expect, in milliseconds.
+        /// Sum of the callers' targets for the longest gap between events, in milliseconds.
         pub gap_ms: f64,
     }
 
-    /// An entry asks for the newest state, and tells what it sees.
+    /// Report of an entry: what it observed, and which versions it holds. The leader answers with
+    /// what is newer.
     pub struct EntryReport {
         /// The entry.
         pub node: NodeName,
-        /// Echoed in the answer, which starts the lease at the time this was sent.
+        /// Number that the answer repeats. The lease of the entry runs from when the report with
+        /// this number was sent.
         pub nonce: u64,
-        /// Version of the declaration it holds.
+        /// Version of the deployment plan that the entry holds.
         pub plan: Option<u64>,
-        /// View it holds.
+        /// Version of the fleet view that the entry holds.
         pub view: ViewVersion,
-        /// Whether that is a view of a leader which had heard of all endpoints.
+        /// Whether that view is complete: its leader had heard from all endpoints.
         pub settled: bool,
-        /// What it saw of the groups.
+        /// Observations of the groups.
         pub pulses: Vec<GroupPulse>,
-        /// What callers asked for.
+        /// Work that callers requested.
         pub demand: Vec<ModelDemand>,
-        /// Whether any caller asked for anything yet.
+        /// Whether any caller has sent a request to this entry yet.
         pub serving: bool,
-        /// View of the quarantine that it holds.
+        /// Version of the quarantine list that the entry holds.
         pub prints: ViewVersion,
-        /// Runs that say something about their requests.
+        /// Attempts whose outcome is evidence for or against quarantine of a request.
         pub runs: Vec<RunEvent>,
-        /// Endpoints that name a limit.
+        /// Endpoints that advertise a rate limit.
         pub limits: Vec<LimitReport>,
     }
 
-    /// A control host's answer to a report, or news that it sends unasked.
+    /// Answer of a control host to a report, or an update that it sends on its own.
     #[derive(Default)]
     pub struct EntryNotice {
-        /// Nonce of the report that a majority has confirmed the leader after; `None` in news.
+        /// Nonce of the report after which a majority confirmed the leader; `None` in an
+        /// unsolicited update.
         pub nonce: Option<u64>,
-        /// The declaration, when the entry holds an older one.
+        /// The deployment plan, if the entry holds an older one.
         pub plan: Option<StoredPlan>,
-        /// What has changed of the view, when the entry holds another one and the leader knows the fleet.
+        /// Changes of the fleet view, if the entry holds another version and the leader's view is
+        /// complete.
         pub view: Option<ViewUpdate>,
-        /// The quarantine, when the entry holds another view of it.
+        /// Update of the quarantine list, if the entry holds another version.
         pub prints: Option<PrintView>,
-        /// Endpoints that name a limit, with this entry's shares; in answers to reports only.
+        /// Rate-limited endpoints with this entry's shares; only in answers to reports.
         pub limits: Vec<EndpointGrant>,
-        /// What the other entries have on the groups, by their last reports; in answers to reports only.
+        /// Requests of the other entries on each group, from their latest reports; only in answers
+        /// to reports.
         pub loads: Vec<GroupLoad>,
-        /// Endpoints that take no new work, whatever the view says.
+        /// Endpoints that accept no new work, even if the fleet view lists them.
         pub leaving: Vec<IncarnationId>,
-        /// Where control hosts can be found.
+        /// Known control hosts.
         pub control: Vec<NodeName>,
-        /// Who leads, when the sender does not.
+        /// The leader, if the sender is not the leader.
         pub leader: Option<NodeName>,
-        /// Whether the sender leads.
+        /// Whether the sender is the leader.
         pub leads: bool,
     }
 
-    /// What one control host tells the others about itself.
+    /// What a control host tells the other control hosts about itself.
     pub struct HostHello {
         /// The control host.
         pub node: NodeName,
-        /// Whether it has a disk and so may vote.
+        /// Whether it has a disk and may therefore vote.
         pub has_disk: bool,
-        /// Whether its folder has a past.
+        /// Whether its data folder already holds a log or snapshot of a cluster.
         pub founded: bool,
-        /// The leader it knows, with the term.
+        /// The leader that it knows of, with the leader's term.
         pub leader: Option<LeaderHint>,
-        /// Other control hosts that it heard of lately.
+        /// Other control hosts that it heard of recently.
         pub known: Vec<NodeName>,
     }
 
-    /// Who leads, as far as somebody knows.
+    /// A leader and its term, which may be out of date.
     pub struct LeaderHint {
-        /// Its term.
+        /// Term of the leader.
         pub term: TermNumber,
         /// The leader.
         pub node: NodeName,
@@ -140,7 +147,7 @@
 }
 
 impl WorkSum {
-    /// Adds `other`.
+    /// Adds the totals of `other`.
     pub fn add(&mut self, other: &Self) {
         self.work_ms += other.work_ms;
         self.requests += other.requests;
@@ -151,7 +158,7 @@
         self.gap_ms += other.gap_ms;
     }
 
-    /// Every part of it, `factor` times.
+    /// Returns all totals multiplied by `factor`.
     pub fn times(&self, factor: f64) -> Self {
         Self {
             work_ms: self.work_ms * factor,
--- a/crates/fleet/src/message/view.rs
+++ b/crates/fleet/src/message/view.rs
@@ -1,8 +1,8 @@
-//! What entries may send to, and how they are told of its changes.
+//! The fleet view that entries choose targets from, and the updates that keep it current.
 //!
-//! A whole view grows with the fleet, and so does the number of its changes and of the entries that
-//! are told: whole views at every change grow with the third power of the fleet. An update holds
-//! what has changed since the view that its reader holds.
+//! Sending whole views at every change would cost the third power of the fleet's size: the size of
+//! a view, the number of changes and the number of entries all grow with the fleet. An update
+//! therefore holds only what changed since the view that its receiver holds.
 
 use briartray_model::message::ViewVersion;
 use briartray_model::names::{GroupId, IncarnationId, ServiceName, ZoneName};
@@ -11,81 +11,81 @@
 use crate::limit::EndpointRate;
 
 plain_value! {
-    /// A single endpoint that serves alone.
+    /// An endpoint that serves on its own, without a group.
     pub struct EndpointView {
         /// The endpoint.
         pub id: IncarnationId,
-        /// Service it serves.
+        /// Service that it serves.
         pub service: ServiceName,
-        /// Where it listens.
+        /// Address that it listens on.
         pub address: String,
         /// Its availability zone.
         pub zone: ZoneName,
-        /// Requests it runs at one time.
+        /// Requests that it runs concurrently.
         pub slots: usize,
-        /// What it takes from all entries together while it is cold.
+        /// Rate that it accepts from all entries together while it is cold; `None` if it is warm.
         pub cold: Option<EndpointRate>,
     }
 
-    /// A group that serves as one replica.
+    /// A group of hosts that serves as one replica.
     pub struct GroupView {
         /// The group.
         pub group: GroupId,
-        /// Service it serves.
+        /// Service that it serves.
         pub service: ServiceName,
-        /// Model it serves.
+        /// Model that it serves.
         pub model: String,
-        /// Its first host, which takes the requests.
+        /// Endpoint of its first host, which receives the requests.
         pub head: IncarnationId,
-        /// Where the first host listens.
+        /// Address that the first host listens on.
         pub address: String,
         /// Availability zone of the first host.
         pub zone: ZoneName,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         pub open: bool,
-        /// What its first host takes from all entries together while that is cold.
+        /// Rate that its first host accepts from all entries together while that host is cold.
         pub cold: Option<EndpointRate>,
     }
 
-    /// Everything that may be sent to, as the leader knows it.
+    /// All targets that entries may send to, as the leader knows them.
     #[derive(Default)]
     pub struct FleetView {
-        /// Which view this is.
+        /// Version of this view.
         pub version: ViewVersion,
-        /// Endpoints of plain services.
+        /// Endpoints that serve without a group, sorted by identifier.
         pub endpoints: Vec<EndpointView>,
-        /// Groups.
+        /// Groups, sorted by identifier.
         pub groups: Vec<GroupView>,
-        /// Entries that hold a lease.
+        /// Number of entries that hold a lease.
         pub entries: usize,
-        /// Whether the leader has not heard of all endpoints yet.
+        /// Whether the leader has not yet heard from all endpoints.
         pub partial: bool,
     }
 
-    /// What makes one view of another.
+    /// Difference between two fleet views.
     #[derive(Default)]
     pub struct ViewUpdate {
-        /// View that it changes; `None` where it is whole.
+        /// Version of the view that the update applies to; `None` if the update holds a whole view.
         pub base: Option<ViewVersion>,
-        /// View that it makes.
+        /// Version of the view after the update.
         pub version: ViewVersion,
-        /// Endpoints that are new, or have changed.
+        /// Endpoints that were added or changed.
         pub endpoints: Vec<EndpointView>,
-        /// Endpoints that are gone.
+        /// Endpoints that were removed.
         pub gone_endpoints: Vec<IncarnationId>,
-        /// Groups that are new, or have changed.
+        /// Groups that were added or changed.
         pub groups: Vec<GroupView>,
-        /// Groups that are gone.
+        /// Groups that were removed.
         pub gone_groups: Vec<GroupId>,
-        /// Entries that hold a lease.
+        /// Number of entries that hold a lease.
         pub entries: usize,
-        /// Whether the leader has not heard of all endpoints yet.
+        /// Whether the leader has not yet heard from all endpoints.
         pub partial: bool,
     }
 }
 
 impl FleetView {
-    /// Endpoints that are cold, with what each takes from all entries together; sorted.
+    /// Returns the cold endpoints, each with the rate that it accepts from all entries together.
     pub fn cold(&self) -> SortedTable<IncarnationId, EndpointRate> {
         let endpoints = self.endpoints.iter().map(|endpoint| (&endpoint.id, endpoint.cold));
         let heads = self.groups.iter().map(|group| (&group.head, group.cold));
@@ -98,7 +98,8 @@
         cold
     }
 
-    /// Open and other groups of each model, and endpoints, in a few words.
+    /// Describes the view for a log line: open and closed groups of each model, endpoints, and
+    /// entries.
     pub fn summary(&self) -> String {
         let mut models: Vec<&str> = self.groups.iter().map(|group| &*group.model).collect();
         models.sort_unstable();
@@ -118,7 +119,7 @@
         )
     }
 
-    /// Whether both tell the same, whatever their versions.
+    /// Whether both views have the same content; their versions may differ.
     pub fn tells_as(&self, other: &Self) -> bool {
         self.endpoints == other.endpoints
             && self.groups == other.groups
@@ -126,7 +127,7 @@
             && self.partial == other.partial
     }
 
-    /// The whole view as an update.
+    /// Returns an update that holds the whole view.
     pub fn whole(&self) -> ViewUpdate {
         ViewUpdate {
             base: None,
@@ -140,11 +141,11 @@
         }
     }
 
-    /// What makes this view of `base`.
+    /// Returns the update that leads from `base` to this view.
     pub fn since(&self, base: &Self) -> ViewUpdate {
         let endpoint = |view: &EndpointView| view.id.clone();
-        let (endpoints, gone_endpoints) = changes(&base.endpoints, &self.endpoints, endpoint);
-        let (groups, gone_groups) = changes(&base.groups, &self.groups, |view| view.group);
+        let (endpoints, gone_endpoints) = sorted_diff(&base.endpoints, &self.endpoints, endpoint);
+        let (groups, gone_groups) = sorted_diff(&base.groups, &self.groups, |view| view.group);
         ViewUpdate {
             base: Some(base.version),
             version: self.version,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The view that `update` makes of this one; `None` where it changes another one.
+    /// Returns the view after `update`, or `None` if the update applies to another version.
     pub fn updated(&self, update: ViewUpdate) -> Option<Self> {
         let ViewUpdate { base, version, entries, partial, .. } = update;
         let Some(base) = base else {
@@ -169,16 +170,16 @@
         }
         let id = |view: &EndpointView| view.id.clone();
         let gone = &update.gone_endpoints;
-        let endpoints = merged(&self.endpoints, update.endpoints, gone, id);
+        let endpoints = sorted_merge(&self.endpoints, update.endpoints, gone, id);
         let gone = &update.gone_groups;
-        let groups = merged(&self.groups, update.groups, gone, |view| view.group);
+        let groups = sorted_merge(&self.groups, update.groups, gone, |view| view.group);
         Some(Self { version, endpoints, groups, entries, partial })
     }
 }
 
-/// Parts of `new` that `old` does not hold as they are, and names of those that are gone; both are in the
-/// order of their names.
-fn changes<V: Clone + PartialEq, K: Ord>(
+/// Returns the parts of `new` that are not in `old` in the same form, and the names in `old` that
+/// `new` no longer has. Both inputs are sorted by name, and so are both results.
+fn sorted_diff<V: Clone + PartialEq, K: Ord>(
     old: &[V],
     new: &[V],
     name: impl Fn(&V) -> K,
@@ -190,8 +191,9 @@
     (changed, gone)
 }
 
-/// `old` without those named in `gone` and with `changed` in their places, in the order of names.
-fn merged<V: Clone, K: Ord>(
+/// Returns `old` without the names in `gone` and with the parts in `changed` added or replaced,
+/// sorted by name.
+fn sorted_merge<V: Clone, K: Ord>(
     old: &[V],
     changed: Vec<V>,
     gone: &[K],
--- a/crates/fleet/src/state/format.rs
+++ b/crates/fleet/src/state/format.rs
@@ -1,9 +1,10 @@
-//! The agreed state as bytes in snapshots.
+//! Encoding of the replicated state in snapshots.
 //!
-//! Snapshots outlive the build that wrote them. Their first bytes name the format, so that a later build
-//! reads older ones and an older build refuses newer ones without touching them. Snapshots without these
-//! bytes are of the first format: they begin with the tag of an optional value, zero or one. Commands in the
-//! log need no such number, since new kinds are only added at the end of [`FleetCommand`](super::FleetCommand).
+//! Snapshots outlive the build that wrote them. They begin with bytes that name the format, so that
+//! a later build reads older snapshots, and an older build rejects newer ones without changing
+//! them. Snapshots without these bytes have the first format, which begins with the tag of an
+//! optional value: zero or one. Commands in the log need no format number, since new variants are
+//! only added at the end of [`FleetCommand`](super::FleetCommand).
 
 use briartray_model::codec::{self, CodecError};
 use briartray_model::names::{GroupId, IncarnationId};
@@ -13,38 +14,38 @@
 
 use super::{EndpointRecord, FleetState, GroupRecord, StoredPlan};
 
-/// Format that this build writes.
+/// Format number that this build writes.
 pub const STATE_FORMAT: u8 = 2;
 
-/// First byte of every snapshot that names its format.
-const FORMAT_MARK: u8 = 0xB7;
+/// First byte of a snapshot that names its format.
+const FORMAT_MAGIC_BYTE: u8 = 0xB7;
 
-/// Why a snapshot gives no state.
+/// Reason why a snapshot cannot be decoded.
 #[derive(Debug, Snafu)]
 pub enum StateProblem {
-    /// A later build wrote it.
+    /// A later build wrote the snapshot.
     #[snafu(display(
-        "the agreed state has format {format}, this build reads up to {STATE_FORMAT}; start a build \
-         that is at least as new as the one that wrote it"
+        "the stored state has format {format}, but this build reads formats up to {STATE_FORMAT}; \
+         start a build that is at least as new as the one that wrote it"
     ))]
     Newer {
-        /// The format.
+        /// Format number of the snapshot.
         format: u8,
     },
-    /// The bytes do not read.
+    /// The bytes are damaged or truncated.
     #[snafu(display(
-        "the agreed state does not read: {source}; move the folder aside, the other control hosts \
-         bring an empty one up to date"
+        "the stored state cannot be decoded: {source}; move the data folder aside, and the other \
+         control hosts replicate the state to an empty one"
     ))]
     Unreadable {
-        /// What the decoder says.
+        /// Error of the decoder.
         source: CodecError,
     },
 }
 
 plain_value! {
-    /// The state as the first format holds it: without evacuated zones.
-    struct FirstState {
+    /// The state in the first format, which has no evacuated zones.
+    struct FormatOneState {
         plan: Option<StoredPlan>,
         last_epoch: u64,
         groups: SortedTable<GroupId, GroupRecord>,
@@ -54,7 +55,7 @@
     }
 }
 
-impl FirstState {
+impl FormatOneState {
     fn upgrade(self) -> FleetState {
         let Self { plan, last_epoch, groups, leaving, endpoints, quarantine } = self;
         let evacuated = Vec::new();
@@ -62,26 +63,28 @@
     }
 }
 
-/// The bytes of `state`, in the newest format.
+/// Encodes `state` in the newest format.
 ///
 /// # Errors
-/// What the encoder says.
+/// A `CodecError` if a value cannot be encoded.
 pub fn encode_state(state: &FleetState) -> Result<Vec<u8>, CodecError> {
-    let mut bytes = vec![FORMAT_MARK, STATE_FORMAT];
+    let mut bytes = vec![FORMAT_MAGIC_BYTE, STATE_FORMAT];
     bytes.extend(codec::encode(state)?);
     Ok(bytes)
 }
 
-/// The state in `bytes`, which this or an earlier build wrote.
+/// Decodes a snapshot that this or an earlier build wrote.
 ///
 /// # Errors
-/// A `StateProblem` that tells damage from a newer format.
+/// A `StateProblem` that tells a newer format from damaged bytes.
 pub fn decode_state(bytes: &[u8]) -> Result<FleetState, StateProblem> {
     match bytes {
-        [FORMAT_MARK, STATE_FORMAT, state @ ..] => codec::decode(state).context(UnreadableSnafu),
-        [FORMAT_MARK, format, ..] if *format > STATE_FORMAT => {
+        [FORMAT_MAGIC_BYTE, STATE_FORMAT, state @ ..] => {
+            codec::decode(state).context(UnreadableSnafu)
+        }
+        [FORMAT_MAGIC_BYTE, format, ..] if *format > STATE_FORMAT => {
             NewerSnafu { format: *format }.fail()
         }
-        first => codec::decode(first).map(FirstState::upgrade).context(UnreadableSnafu),
+        first => codec::decode(first).map(FormatOneState::upgrade).context(UnreadableSnafu),
     }
 }
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -1,10 +1,10 @@
-//! What control hosts agree on through the log: the declaration in force, the groups with their
-//! epochs, the endpoints that are leaving, the requests in quarantine, and the availability zones that are
-//! evacuated.
+//! The state that control hosts replicate through the log: the deployment plan in force, the groups
+//! with their epochs, the endpoints that are leaving, the requests in quarantine, and the evacuated
+//! availability zones.
 //!
-//! A [`FleetCommand`] is applied in the order of the log on every control host, and the outcome
-//! follows from the state alone. An epoch is a number of the log, so that two leaders never give
-//! the same one and an order of an earlier leader is always lower than those of a later one.
+//! Every control host applies each [`FleetCommand`] in log order, and the outcome depends on the
+//! state alone. Epochs are assigned when the log is applied, so two leaders never assign the same
+//! epoch, and an order of an earlier leader always has a lower epoch than those of a later one.
 
 use briartray_model::names::{
     DomainName, GroupId, IncarnationId, RequestPrint, ServiceName, ZoneName,
@@ -21,80 +21,81 @@
 
 use briartray_quarantine::{QuarantineList, QuarantineRecord};
 
-/// Leaving endpoints that are remembered. An endpoint leaves within seconds; the bound is far
-/// above what a fleet of 22,000 hosts takes down in that time (370 a day).
-const MAX_LEAVING: usize = 1024;
+/// Limit on remembered leaving endpoints. An endpoint leaves within seconds; the limit is far above
+/// the number that a fleet of 22,000 hosts takes down in that time (370 a day).
+const MAX_LEAVING_ENDPOINTS: usize = 1024;
 
-/// Endpoints that are remembered: twice the 22,000 that the design aims for.
+/// Limit on registered endpoints: twice the design size of 22,000 hosts.
 const MAX_ENDPOINTS: usize = 44_000;
 
 plain_value! {
-    /// An endpoint that has announced itself.
+    /// An endpoint that has registered itself.
     pub struct EndpointRecord {
-        /// Its present life.
+        /// Identifier of its current run; a restart gets a new one.
         pub id: IncarnationId,
-        /// Service it serves.
+        /// Service that it serves.
         pub service: ServiceName,
-        /// Where it listens.
+        /// Address that it listens on.
         pub address: String,
         /// Its availability zone.
         pub zone: ZoneName,
-        /// Fabric domain, where it serves in groups.
+        /// Fabric domain, if it serves in groups.
         pub domain: Option<DomainName>,
-        /// Requests it runs at one time.
+        /// Requests that it runs concurrently.
         pub slots: usize,
     }
 
-    /// A host of a group.
+    /// A host in a group.
     pub struct GroupHost {
         /// Its endpoint.
         pub id: IncarnationId,
-        /// Where the endpoint listens.
+        /// Address that the endpoint listens on.
         pub address: String,
     }
 
     /// A group that was formed and has not ended.
     pub struct GroupRecord {
-        /// The service it serves.
+        /// Service that it serves.
         pub service: ServiceName,
-        /// The model it serves.
+        /// Model that it serves.
         pub model: String,
         /// Fabric domain of its hosts.
         pub domain: DomainName,
         /// Availability zone of its first host.
         pub zone: ZoneName,
-        /// Its hosts; requests go to the first one.
+        /// Its hosts. Requests go to the first one.
         pub members: Vec<GroupHost>,
-        /// Whether it never serves: a single host that joined so that its model is warm. A host
-        /// whose last group had the same model joins the next one within a fraction of a second.
+        /// Whether it is a single spare host that never serves and only keeps its model warm. A
+        /// host whose previous group had the same model joins the next one within a fraction of a
+        /// second.
         pub standby: bool,
     }
 
-    /// One change of the state.
+    /// A change of the state. New variants are added at the end, since the encoding counts them.
     pub enum FleetCommand {
-        /// Put a declaration in force, unless a newer one is.
+        /// Puts a deployment plan in force, unless its version is not newer than the one in force.
         PutPlan(StoredPlan),
-        /// Form a group; its epoch is the next free one.
+        /// Forms a group and assigns it the next epoch.
         FormGroup(GroupRecord),
-        /// A group is over and its hosts are free.
+        /// Ends a group and frees its hosts.
         EndGroup(GroupId),
-        /// An endpoint takes no new work.
+        /// Marks an endpoint that accepts no new work.
         MarkLeaving(IncarnationId),
-        /// Endpoints have announced themselves.
+        /// Registers endpoints.
         Announce(Vec<EndpointRecord>),
-        /// Endpoints are gone.
+        /// Removes endpoints.
         Forget(Vec<IncarnationId>),
-        /// A request is refused from now on.
+        /// Puts a request in quarantine: it is refused from now on.
         Quarantine(QuarantineRecord),
-        /// A request is served again.
+        /// Ends the quarantine of a request.
         LiftQuarantine(RequestPrint),
-        /// Nothing more is sent to the endpoints of a zone.
+        /// Stops sending to the endpoints of a zone.
         EvacuateZone(ZoneName),
-        /// The endpoints of a zone are sent to again.
+        /// Resumes sending to the endpoints of a zone.
         ReadmitZone(ZoneName),
     }
 
-    /// Everything that the control hosts agree on.
+    /// The whole state that control hosts replicate.
     #[derive(Default)]
     pub struct FleetState {
         plan: Option<StoredPlan>,
@@ -107,23 +108,23 @@
     }
 }
 
-/// What a command did.
+/// Outcome of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetOutcome {
-    /// The declaration is in force.
+    /// The deployment plan is now in force.
     PlanInForce,
-    /// A newer or equal version was in force already; nothing changed.
+    /// The version in force is the same or newer; nothing changed.
     PlanOvertaken,
-    /// The group has this epoch.
+    /// The group was formed with this epoch.
     GroupFormed(GroupId),
     /// The group was not formed: one of its hosts is in another group or leaving.
     GroupRefused,
-    /// Nothing else to tell.
+    /// The command was applied and has no further result.
     Noted,
 }
 
 impl FleetState {
-    /// Applies `command`.
+    /// Applies `command` and returns its outcome.
     pub fn apply(&mut self, command: &FleetCommand) -> FleetOutcome {
         match command {
             FleetCommand::PutPlan(plan) => self.put_plan(plan),
@@ -162,52 +163,53 @@
         }
     }
 
-    /// The declaration in force.
+    /// Returns the deployment plan in force.
     pub fn plan(&self) -> Option<&StoredPlan> {
         self.plan.as_ref()
     }
 
-    /// The groups.
+    /// Returns the groups by epoch.
     pub fn groups(&self) -> &SortedTable<GroupId, GroupRecord> {
         &self.groups
     }
 
-    /// The endpoints that have announced themselves.
+    /// Returns the endpoints that have registered themselves.
     ///
-    /// Kept in the log so that a new leader knows whom to ask at once: beats come only every
-    /// second, and an endpoint whose leader is gone first finds another one.
+    /// They are kept in the log so that a new leader can probe all of them at once: heartbeats
+    /// arrive only every second, and an endpoint that lost its leader first has to find the new
+    /// one.
     pub fn endpoints(&self) -> &SortedTable<IncarnationId, EndpointRecord> {
         &self.endpoints
     }
 
-    /// Requests that are refused since they crash endpoints.
+    /// Returns the requests that are refused because they crash endpoints.
     pub fn quarantine(&self) -> &QuarantineList {
         &self.quarantine
     }
 
-    /// Zones whose endpoints get nothing more, sorted.
+    /// Returns the evacuated zones, sorted.
     pub fn evacuated(&self) -> &[ZoneName] {
         &self.evacuated
     }
 
-    /// Whether the endpoints of `zone` get nothing more.
+    /// Whether `zone` is evacuated: its endpoints get no requests.
     pub fn is_evacuated(&self, zone: &ZoneName) -> bool {
         self.evacuated.binary_search(zone).is_ok()
     }
 
-    /// Endpoints that take no new work, the longest known first.
+    /// Returns the endpoints that accept no new work, in the order they were marked.
     pub fn leaving(&self) -> &[IncarnationId] {
         &self.leaving
     }
 
-    /// Endpoints that take no new work, sorted, for many lookups.
+    /// Returns the endpoints that accept no new work, sorted for binary search.
     pub fn leaving_by_name(&self) -> Vec<&IncarnationId> {
         let mut leaving: Vec<&IncarnationId> = self.leaving.iter().collect();
         leaving.sort_unstable();
         leaving
     }
 
-    /// Whether the endpoint takes no new work.
+    /// Whether the endpoint accepts no new work.
     pub fn is_leaving(&self, id: &IncarnationId) -> bool {
         self.leaving.contains(id)
     }
@@ -249,7 +251,7 @@
         if !self.is_leaving(id) {
             self.leaving.push(id.clone());
         }
-        let surplus = self.leaving.len().saturating_sub(MAX_LEAVING);
+        let surplus = self.leaving.len().saturating_sub(MAX_LEAVING_ENDPOINTS);
         self.leaving.drain(..surplus);
         FleetOutcome::Noted
     }
--- a/crates/fleet/src/state/stored_plan.rs
+++ b/crates/fleet/src/state/stored_plan.rs
@@ -1,9 +1,9 @@
-//! A declaration as the operator sent it, kept small.
+//! A deployment plan as the operator sent it, compressed.
 //!
-//! A declaration of two thousand routes has more than half a megabyte. Each change of it goes to every
-//! voter and every entry; heartbeats that wait behind it come too late, and the leader loses its
-//! majority. Routes are alike, so the text is compressed once, when it arrives, and unpacked where it is
-//! read.
+//! A plan with two thousand routes is larger than half a megabyte, and each change of it goes to
+//! every voter and every entry. Heartbeats queued behind it would arrive late, and the leader would
+//! lose its majority. Routes resemble each other, so the text is compressed once, on arrival, and
+//! unpacked where it is read.
 
 use std::io::{Read, Write};
 
@@ -13,44 +13,46 @@
 use flate2::write::ZlibEncoder;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Longest text, in bytes: twice what control hosts take from operators.
+/// Longest text, in bytes: twice what control hosts accept from operators.
 const MAX_TEXT_BYTES: u64 = 32 * 1024 * 1024;
 
 plain_value! {
-    /// A declaration, byte for byte as it came.
+    /// The compressed text of a deployment plan, byte for byte as it was received.
     pub struct StoredPlan {
-        /// Its version.
+        /// Version of the plan.
         pub version: u64,
         packed: Vec<u8>,
     }
 }
 
-/// Why a stored declaration gives no text.
+/// Reason why a stored plan cannot be unpacked.
 #[derive(Debug, Snafu)]
 pub enum UnpackProblem {
-    /// The bytes are not what was packed.
-    #[snafu(display("a stored declaration does not unpack: {source}; send the declaration again"))]
+    /// The compressed bytes are damaged.
+    #[snafu(display(
+        "a stored configuration cannot be unpacked: {source}; send the configuration again"
+    ))]
     Damaged {
-        /// What the decoder says.
+        /// Error of the decompressor.
         source: std::io::Error,
     },
-    /// The text is longer than any declaration.
-    #[snafu(display("a stored declaration is too long; send a shorter one"))]
+    /// The text exceeds the limit of 32 MiB.
+    #[snafu(display("a stored configuration exceeds 32 MiB; send a shorter one"))]
     TooLong,
 }
 
 impl StoredPlan {
-    /// Packs `text`.
+    /// Compresses `text`.
     pub fn pack(version: u64, text: &[u8]) -> Self {
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
         let packed = encoder.write_all(text).and_then(|()| encoder.finish());
         Self { version, packed: packed.expect("writing to memory does not fail") }
     }
 
-    /// The text, byte for byte.
+    /// Returns the text, byte for byte.
     ///
     /// # Errors
-    /// An `UnpackProblem` when the bytes were damaged.
+    /// An `UnpackProblem` if the bytes are damaged or the text is too long.
     pub fn text(&self) -> Result<Vec<u8>, UnpackProblem> {
         let mut text = Vec::new();
         let mut decoder = ZlibDecoder::new(&*self.packed).take(MAX_TEXT_BYTES + 1);
@@ -59,7 +61,7 @@
         Ok(text)
     }
 
-    /// Bytes that it takes on links and disks.
+    /// Returns the compressed size, in bytes.
     pub fn packed_len(&self) -> usize {
         self.packed.len()
     }
