--- a/crates/fleet/src/deployment/book.rs
+++ b/crates/fleet/src/deployment/book.rs
@@ -30,7 +30,7 @@
 impl RouteBook {
     /// Sorts the routes and keys of `plan`, which must have passed its check.
     pub fn compile(mut plan: DeploymentPlan) -> Self {
-        plan.routes.sort_by(|a, b| place(a).cmp(&place(b)));
+        plan.routes.sort_by(|a, b| route_key(a).cmp(&route_key(b)));
         let mut keys = SortedTable::new();
         for team in &plan.teams {
             for key in &team.keys {
@@ -74,13 +74,13 @@
 
     fn route_at(&self, host: &str, prefix: &str) -> Option<&RouteRule> {
         let wanted = (host, std::cmp::Reverse(prefix.len()), prefix);
-        let compare = |rule: &RouteRule| -> Ordering { place(rule).cmp(&wanted) };
+        let compare = |rule: &RouteRule| -> Ordering { route_key(rule).cmp(&wanted) };
         let found = self.plan.routes.binary_search_by(compare).ok()?;
         self.plan.routes.get(found)
     }
 }
 
 /// Sort key of a route: host name, then prefix length (longest first), then prefix.
-fn place(rule: &RouteRule) -> (&str, std::cmp::Reverse<usize>, &str) {
+fn route_key(rule: &RouteRule) -> (&str, std::cmp::Reverse<usize>, &str) {
     (&rule.host, std::cmp::Reverse(rule.prefix.len()), &rule.prefix)
 }
--- a/crates/fleet/src/deployment/plan.rs
+++ b/crates/fleet/src/deployment/plan.rs
@@ -121,7 +121,7 @@
     pub struct DeploymentPlan {
         /// Its version.
         pub version: u64,
-        /// Routes, in the order of declaration.
+        /// Routes, in the order in which they are declared.
         pub routes: Vec<RouteRule>,
         /// Declared services.
         pub services: Vec<ServiceSpec>,
@@ -153,7 +153,7 @@
     },
     /// Two routes have the same host name and path prefix.
     #[snafu(display("two routes have host {host} and path prefix {prefix}; remove one of them"))]
-    SamePlace {
+    DuplicateRoute {
         /// Host name.
         host: String,
         /// Path prefix.
@@ -161,13 +161,13 @@
     },
     /// The weights of a route add up to zero, so none of its requests would have a target.
     #[snafu(display("the weights of route {route} add up to 0; set at least one to 1 or more"))]
-    NoWeight {
+    ZeroWeight {
         /// Name of the route.
         route: String,
     },
     /// The timeout of a route is zero.
     #[snafu(display("the timeout of route {route} is 0; set a longer one"))]
-    NoTimeout {
+    ZeroTimeout {
         /// Name of the route.
         route: String,
     },
@@ -199,14 +199,14 @@
 
     fn check_route(&self, route: &RouteRule) -> Result<(), PlanProblem> {
         let name = || route.name.clone();
-        ensure!(!route.timeout.is_zero(), NoTimeoutSnafu { route: name() });
+        ensure!(!route.timeout.is_zero(), ZeroTimeoutSnafu { route: name() });
         for target in &route.targets {
             let service = target.service.as_str();
             let known = self.service(&target.service).is_some();
             ensure!(known, UnknownServiceSnafu { route: name(), service });
         }
         let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
-        ensure!(total > 0, NoWeightSnafu { route: name() });
+        ensure!(total > 0, ZeroWeightSnafu { route: name() });
         Ok(())
     }
 
@@ -215,7 +215,7 @@
             self.routes.iter().map(|route| (&*route.host, &*route.prefix)).collect();
         route_keys.sort_unstable();
         match route_keys.windows(2).find(|pair| pair[0] == pair[1]) {
-            Some(pair) => SamePlaceSnafu { host: pair[0].0, prefix: pair[0].1 }.fail(),
+            Some(pair) => DuplicateRouteSnafu { host: pair[0].0, prefix: pair[0].1 }.fail(),
             None => Ok(()),
         }
     }
--- a/crates/fleet/src/entry/budget.rs
+++ b/crates/fleet/src/entry/budget.rs
@@ -22,7 +22,7 @@
 pub struct RetryBudget {
     ratio: f64,
     allowance: f64,
-    bucket: Duration,
+    bucket_width: Duration,
     services: SortedTable<ServiceName, Vec<BucketCount>>,
 }
 
@@ -37,8 +37,8 @@
     /// Creates a budget of `ratio` times the requests within `window`, plus `allowance` retries
     /// over all entries together.
     pub fn new(ratio: f64, allowance: f64, window: Duration) -> Self {
-        let bucket = window / u32::try_from(WINDOW_BUCKETS).unwrap_or(1);
-        Self { ratio, allowance, bucket, services: SortedTable::new() }
+        let bucket_width = window / u32::try_from(WINDOW_BUCKETS).unwrap_or(1);
+        Self { ratio, allowance, bucket_width, services: SortedTable::new() }
     }
 
     /// Counts a request to `service`.
@@ -63,7 +63,7 @@
     }
 
     fn bucket(&mut self, now: TimePoint, service: &ServiceName) -> &mut BucketCount {
-        let width = u64::try_from(self.bucket.as_micros()).unwrap_or(u64::MAX).max(1);
+        let width = u64::try_from(self.bucket_width.as_micros()).unwrap_or(u64::MAX).max(1);
         let number = now.0 / width;
         let counts = self.services.get_or_insert_with(service.clone(), Vec::new);
         counts.retain(|count| count.number + WINDOW_BUCKETS > number);
--- a/crates/fleet/src/entry/load.rs
+++ b/crates/fleet/src/entry/load.rs
@@ -51,10 +51,10 @@
 #[derive(Debug, Clone, Default)]
 pub struct TargetLoad {
     /// Unfinished requests of this entry.
-    pub own: u32,
+    pub own_requests: u32,
     others: f64,
     /// When `others` was updated.
-    sampled: Option<TimePoint>,
+    others_updated_at: Option<TimePoint>,
     /// When the target last reported its load itself.
     self_reported_at: Option<TimePoint>,
     /// Requests of this entry that were sent since `others` was updated, minus those that ended.
@@ -62,8 +62,8 @@
     /// When a request of this entry was last sent or ended, or a byte arrived.
     last_used_at: Option<TimePoint>,
     /// When the last byte arrived.
-    pub moved: Option<TimePoint>,
-    first: Option<(TimePoint, f64)>,
+    pub last_byte_at: Option<TimePoint>,
+    smoothed_first_part: Option<(TimePoint, f64)>,
     /// Since when a request of this entry has waited without a byte.
     pub waiting_since: Option<TimePoint>,
     /// Silence after which the target has most likely stopped.
@@ -75,10 +75,10 @@
 impl TargetLoad {
     /// Records that a request was sent.
     pub fn begin(&mut self, now: TimePoint) {
-        if self.own == 0 {
+        if self.own_requests == 0 {
             self.waiting_since = Some(now);
         }
-        self.own += 1;
+        self.own_requests += 1;
         self.sent_since_update += 1;
         self.last_used_at = Some(now);
     }
@@ -86,16 +86,16 @@
     /// Records that a request ended.
     pub fn end(&mut self, now: TimePoint) {
         self.last_used_at = Some(now);
-        self.own = self.own.saturating_sub(1);
+        self.own_requests = self.own_requests.saturating_sub(1);
         self.sent_since_update -= 1;
-        if self.own == 0 {
+        if self.own_requests == 0 {
             self.waiting_since = None;
         }
     }
 
     /// Records that bytes arrived.
     pub fn moved(&mut self, now: TimePoint) {
-        self.moved = Some(now);
+        self.last_byte_at = Some(now);
         self.last_used_at = Some(now);
         self.waiting_since = Some(now);
         self.suspect_until = None;
@@ -105,19 +105,21 @@
     pub fn first_part(&mut self, now: TimePoint, took: Duration) {
         let took = took.as_secs_f64();
         let known = self.recent_first_part(now).unwrap_or(took);
-        self.first = Some((now, known + (took - known) * FIRST_PART_WEIGHT));
+        self.smoothed_first_part = Some((now, known + (took - known) * FIRST_PART_WEIGHT));
     }
 
     /// Smoothed time to the first part of an answer, in seconds; `None` without a recent one.
     pub fn recent_first_part(&self, now: TimePoint) -> Option<f64> {
-        self.first.filter(|(at, _)| now.since(*at) < FIRST_PART_VALIDITY).map(|(_, took)| took)
+        self.smoothed_first_part
+            .filter(|(at, _)| now.since(*at) < FIRST_PART_VALIDITY)
+            .map(|(_, took)| took)
     }
 
     /// Records the load that the target reported.
     pub fn sample(&mut self, now: TimePoint, sample: LoadSample) {
         let total = f64::from(sample.running + sample.waiting);
         self.self_reported_at = Some(now);
-        self.set_others(now, (total - f64::from(self.own)).max(0.0));
+        self.set_others(now, (total - f64::from(self.own_requests)).max(0.0));
     }
 
     /// Records the leader's total of the requests that all other entries have there.
@@ -133,23 +135,23 @@
 
     fn set_others(&mut self, now: TimePoint, others: f64) {
         self.others = others;
-        self.sampled = Some(now);
+        self.others_updated_at = Some(now);
         self.sent_since_update = 0;
     }
 
     /// Estimated number of requests that the target runs and holds.
     pub fn total(&self, now: TimePoint) -> f64 {
-        f64::from(self.own) + self.others_now(now)
+        f64::from(self.own_requests) + self.others_now(now)
     }
 
     /// Number of requests that this entry may send now to a target with `slots` slots that
     /// `entries` entries share: its part of the free capacity, minus what it sent since it learned
     /// the load. A fraction is the probability of one more request.
-    pub fn room(&self, now: TimePoint, slots: f64, entries: usize) -> f64 {
+    pub fn free_share(&self, now: TimePoint, slots: f64, entries: usize) -> f64 {
         let share = FREE_CAPACITY_PART / entries.max(1) as f64;
         let sent_since_update = f64::from(self.sent_since_update);
-        let told = self.total(now) - sent_since_update;
-        (slots - told) * share - sent_since_update
+        let known_total = self.total(now) - sent_since_update;
+        (slots - known_total) * share - sent_since_update
     }
 
     /// Time that a request of this entry has waited without a byte; `None` if none waits.
@@ -160,7 +162,7 @@
     /// Whether to report the target to the leader: it is in use, or was until recently.
     pub fn needs_report(&self, now: TimePoint) -> bool {
         let lately = self.last_used_at.is_some_and(|at| now.since(at) < REPORTED_AFTER_USE);
-        self.own > 0 || lately || self.is_suspect(now)
+        self.own_requests > 0 || lately || self.is_suspect(now)
     }
 
     /// Whether it is currently not to be chosen.
@@ -169,8 +171,8 @@
     }
 
     fn others_now(&self, now: TimePoint) -> f64 {
-        let Some(sampled) = self.sampled else { return 0.0 };
-        let stale = now.since(sampled).saturating_sub(OTHERS_FRESH_FOR);
+        let Some(updated_at) = self.others_updated_at else { return 0.0 };
+        let stale = now.since(updated_at).saturating_sub(OTHERS_FRESH_FOR);
         let halves = stale.as_secs_f64() / OTHERS_HALF_LIFE.as_secs_f64();
         self.others * 0.5_f64.powf(halves)
     }
--- a/crates/fleet/src/entry/mod.rs
+++ b/crates/fleet/src/entry/mod.rs
@@ -1,7 +1,7 @@
 //! Decisions of an entry about a request: which target gets it, whether it is admitted, and what
 //! follows a failed attempt. Nothing here reads a clock or opens a socket.
 
-mod answer_wait;
+mod answer_timeout;
 mod attempt;
 mod budget;
 mod drain;
@@ -13,7 +13,7 @@
 mod startup;
 mod table;
 
-pub use answer_wait::AnswerWait;
+pub use answer_timeout::AnswerWait;
 pub use attempt::{AttemptEnd, AttemptPlan, NextMove};
 pub use budget::RetryBudget;
 pub use drain::DrainSchedule;
--- a/crates/fleet/src/entry/report_interval.rs
+++ b/crates/fleet/src/entry/report_interval.rs
@@ -18,8 +18,8 @@
 /// Interval while callers wait for a leader.
 const RETRY_INTERVAL: Duration = Duration::from_millis(80);
 
-/// Number of consecutive unanswered reports after which the interval grows by [`RETRY_INTERVAL`]. An
-/// election takes as long as the first few.
+/// Number of consecutive unanswered reports after which the interval grows by [`RETRY_INTERVAL`].
+/// An election takes as long as the first few.
 const REPORTS_PER_BACKOFF_STEP: u32 = 8;
 
 /// Longest interval between unanswered reports.
--- a/crates/fleet/src/entry/table.rs
+++ b/crates/fleet/src/entry/table.rs
@@ -16,7 +16,7 @@
 use super::selection::{TargetCandidate, UsableTarget, select_by_weight, select_least_loaded};
 use super::{LoadSample, TargetLoad};
 use crate::deployment::{RouteBook, RouteRule};
-use crate::limit::{EntryLimits, SendRoom};
+use crate::limit::{EntryLimits, SendPermit};
 use crate::message::{
     EndpointView, FleetView, GroupLoad, GroupPulse, GroupView, ViewUpdate, ViewVersion,
 };
@@ -117,7 +117,7 @@
     /// Applies an update. If the update is for another view than the one held here, the next report
     /// asks for a whole view.
     pub fn update(&mut self, now: TimePoint, update: ViewUpdate) {
-        let updated = self.view.updated(update);
+        let updated = self.view.with_update(update);
         self.needs_whole_view = updated.is_none();
         if let Some(view) = updated {
             self.adopt(now, view);
@@ -138,7 +138,7 @@
         self.view = view;
         let view = &self.view;
         self.loads.retain(|target, load| {
-            load.own > 0
+            load.own_requests > 0
                 || match target {
                     TargetId::Group(group) => view.groups.iter().any(|g| g.group == *group),
                     TargetId::Endpoint(id) => view.endpoints.iter().any(|e| e.id == *id),
@@ -220,9 +220,9 @@
         &mut self,
         now: TimePoint,
         book: &RouteBook,
-        wish: &TargetWish<'_>,
+        query: &TargetWish<'_>,
     ) -> Result<TargetChoice, ChoiceRefusal> {
-        let TargetWish { service, model, tried } = *wish;
+        let TargetWish { service, model, tried } = *query;
         let engine = book.service(service).and_then(|spec| spec.engine.as_ref());
         let slots = engine.map(|engine| engine.slots as f64);
         let candidates = match (slots, model) {
@@ -288,7 +288,7 @@
         for (target, load) in self.loads.iter_mut() {
             let TargetId::Group(group) = target else { continue };
             let limit = load.silence_limit.unwrap_or(DEFAULT_SILENCE_LIMIT);
-            let limit = if load.moved.is_some() { limit } else { limit * FIRST_BYTE_FACTOR };
+            let limit = if load.last_byte_at.is_some() { limit } else { limit * FIRST_BYTE_FACTOR };
             let quiet = load.silence(now).is_some_and(|silence| silence >= limit);
             if quiet && !load.is_suspect(now) {
                 load.suspect_until = Some(now.after(SUSPECT_PERIOD));
@@ -308,7 +308,7 @@
 
     /// Whether a request of this entry waits on a suspect target.
     pub fn waits_on_silent(&self, now: TimePoint) -> bool {
-        self.loads.values().any(|load| load.own > 0 && load.is_suspect(now))
+        self.loads.values().any(|load| load.own_requests > 0 && load.is_suspect(now))
     }
 
     /// Returns what this entry observed of the groups, for its report.
@@ -317,9 +317,9 @@
             TargetId::Group(group) => Some(GroupPulse {
                 group: *group,
                 quiet_ms: load
-                    .moved
+                    .last_byte_at
                     .map(|at| u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX)),
-                running: load.own,
+                running: load.own_requests,
                 suspect: load.is_suspect(now),
             }),
             TargetId::Endpoint(_) => None,
@@ -393,24 +393,24 @@
             let suspect = load.is_some_and(|load| load.is_suspect(now));
             // A plain endpoint works off its queue quickly; a queue at a group makes every answer
             // late.
-            let room = match load {
+            let free = match load {
                 Some(load) if candidate.capacity_shared => {
-                    load.room(now, candidate.slots, self.entries())
+                    load.free_share(now, candidate.slots, self.entries())
                 }
                 _ => candidate.slots - total,
             };
-            if room < 1.0 && room <= self.random.random_range(0.0..1.0) {
+            if free < 1.0 && free <= self.random.random_range(0.0..1.0) {
                 full = true;
                 continue;
             }
             let endpoint = &candidate.choice.endpoint;
-            self.wants_share |= self.limits.want(endpoint);
-            let surplus = match self.limits.room(now, endpoint) {
-                SendRoom::None { wait } => {
+            self.wants_share |= self.limits.record_demand(endpoint);
+            let surplus = match self.limits.permit(now, endpoint) {
+                SendPermit::Denied { wait } => {
                     limited = Some(limited.map_or(wait, |known| known.min(wait)));
                     continue;
                 }
-                room => room == SendRoom::Spare,
+                permit => permit == SendPermit::Surplus,
             };
             usable.push(UsableTarget { candidate, total, slowness, suspect, surplus });
         }
@@ -440,8 +440,8 @@
         let first = |candidate: &TargetCandidate| {
             self.loads.get(&candidate.choice.target).and_then(|load| load.recent_first_part(now))
         };
-        let quickest = candidates.iter().filter_map(first).fold(f64::INFINITY, f64::min);
-        let times = |candidate| first(candidate).map_or(1.0, |took| took / quickest);
-        candidates.iter().map(|candidate| times(candidate).clamp(1.0, MAX_SLOWNESS)).collect()
+        let fastest = candidates.iter().filter_map(first).fold(f64::INFINITY, f64::min);
+        let factor = |candidate| first(candidate).map_or(1.0, |took| took / fastest);
+        candidates.iter().map(|candidate| factor(candidate).clamp(1.0, MAX_SLOWNESS)).collect()
     }
 }
--- a/crates/fleet/src/limit/entry_limits.rs
+++ b/crates/fleet/src/limit/entry_limits.rs
@@ -29,16 +29,16 @@
 
 /// Whether a request may be sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SendRoom {
+pub enum SendPermit {
     /// The endpoint has no limit.
     Unlimited,
     /// The limit allows a request.
-    Fits,
+    Allowed,
     /// The limit allows a request, and the token bucket is nearly full: a token that is not used
     /// now is lost.
-    Spare,
+    Surplus,
     /// The limit allows no request now.
-    None {
+    Denied {
         /// Estimated time until it allows one.
         wait: Duration,
     },
@@ -46,7 +46,7 @@
 
 /// What an entry knows of one endpoint that advertises a limit, or did so recently.
 #[derive(Debug, Clone)]
-struct EndpointLimit {
+struct LimitState {
     /// Limit in the latest answer to this entry, and when it arrived.
     heard: Option<(NamedLimit, TimePoint)>,
     /// Limit that the endpoint advertises.
@@ -73,7 +73,7 @@
 
 /// The latest report, whose answer may bring shares.
 #[derive(Debug, Clone, Copy)]
-struct LatestReport {
+struct LastReport {
     nonce: u64,
     sent_at: TimePoint,
 }
@@ -81,30 +81,30 @@
 /// All limits that an entry knows of.
 #[derive(Debug, Clone, Default)]
 pub struct EntryLimits {
-    endpoints: SortedTable<IncarnationId, EndpointLimit>,
-    latest_report: Option<LatestReport>,
+    endpoints: SortedTable<IncarnationId, LimitState>,
+    last_report: Option<LastReport>,
 }
 
 impl EntryLimits {
     /// Processes the limit header of an answer from `endpoint`. Returns whether to report it to the
     /// leader at once.
-    pub fn hear(&mut self, now: TimePoint, endpoint: &IncarnationId, word: LimitWord) -> bool {
-        let LimitWord::Named(named) = word else { return false };
+    pub fn hear(&mut self, now: TimePoint, endpoint: &IncarnationId, header: LimitWord) -> bool {
+        let LimitWord::Named(named) = header else { return false };
         let rate = match named {
             NamedLimit::Open if !self.endpoints.contains_key(endpoint) => return false,
             NamedLimit::Open => None,
             NamedLimit::Rate(rate) => Some(rate),
         };
-        let fresh = || EndpointLimit::new(now);
+        let fresh = || LimitState::new(now);
         let known = self.endpoints.get_or_insert_with(endpoint.clone(), fresh);
         known.heard = Some((named, now));
         std::mem::replace(&mut known.limit, rate).is_some() != rate.is_some()
     }
 
     /// Whether a request may be sent to `endpoint` now.
-    pub fn room(&self, now: TimePoint, endpoint: &IncarnationId) -> SendRoom {
+    pub fn permit(&self, now: TimePoint, endpoint: &IncarnationId) -> SendPermit {
         let limited = self.endpoints.get(endpoint).filter(|known| known.rate(now).is_some());
-        limited.map_or(SendRoom::Unlimited, |known| known.room(now))
+        limited.map_or(SendPermit::Unlimited, |known| known.permit(now))
     }
 
     /// Sets the cold endpoints of a fleet view, each with the rate that it accepts from all entries
@@ -126,7 +126,7 @@
             known.cold = known.cold.filter(|_| known.cold_until.is_some_and(|until| now < until));
         }
         for (endpoint, rate) in cold.iter() {
-            let fresh = || EndpointLimit::new(now);
+            let fresh = || LimitState::new(now);
             let known = self.endpoints.get_or_insert_with(endpoint.clone(), fresh);
             known.wanted_while_cold &= known.cold.is_some();
             known.cold = Some(*rate);
@@ -136,7 +136,7 @@
 
     /// Records that a request could go to `endpoint`, whether or not the limit allows it. Returns
     /// whether to report to the leader at once.
-    pub fn want(&mut self, endpoint: &IncarnationId) -> bool {
+    pub fn record_demand(&mut self, endpoint: &IncarnationId) -> bool {
         let Some(known) = self.endpoints.get_mut(endpoint) else { return false };
         known.wanted = known.wanted.saturating_add(1);
         let first = known.cold.is_some() && !std::mem::replace(&mut known.wanted_while_cold, true);
@@ -153,12 +153,12 @@
 
     /// Returns what the report with `nonce` says about limits.
     pub fn report(&mut self, now: TimePoint, nonce: u64) -> Vec<LimitReport> {
-        let before = self.latest_report.map_or(now, |latest_report| latest_report.sent_at);
+        let before = self.last_report.map_or(now, |report| report.sent_at);
         let span = now.since(before).max(MIN_REPORT_SPAN);
-        self.latest_report = Some(LatestReport { nonce, sent_at: now });
+        self.last_report = Some(LastReport { nonce, sent_at: now });
         self.endpoints
             .retain(|_, known| known.rate(now).is_some() || known.recent_limit(now).is_some());
-        let tell = |(endpoint, known): (&IncarnationId, &mut EndpointLimit)| {
+        let tell = |(endpoint, known): (&IncarnationId, &mut LimitState)| {
             known.smooth_demand(span);
             known.reported_share = known.held(now);
             LimitReport {
@@ -175,11 +175,7 @@
     /// Processes the answer to the report with `nonce`. Only the answer to the newest report
     /// counts, since the leader assumes that earlier answers are not used any more.
     pub fn grant(&mut self, now: TimePoint, nonce: u64, grants: &[EndpointGrant]) {
-        let Some(latest_report) =
-            self.latest_report.filter(|latest_report| latest_report.nonce == nonce)
-        else {
-            return;
-        };
+        let Some(report) = self.last_report.filter(|report| report.nonce == nonce) else { return };
         // An endpoint that the leader does not list has no limit, unless it advertised one to this
         // entry recently.
         let granted = |id: &IncarnationId| grants.iter().any(|grant| grant.endpoint == *id);
@@ -189,14 +185,14 @@
             }
         }
         for grant in grants {
-            let fresh = || EndpointLimit::new(now);
+            let fresh = || LimitState::new(now);
             let known = self.endpoints.get_or_insert_with(grant.endpoint.clone(), fresh);
             known.refill(now);
             // If the share has expired, the leader may have given it to another entry.
             let lapsed = known.reported_share.0 > 0 && now >= known.share_until;
             known.share = if lapsed { EndpointRate::default() } else { grant.share };
-            known.share_until = latest_report.sent_at.after(SHARE_LEASE);
-            if known.heard.is_none_or(|(_, at)| at <= latest_report.sent_at) {
+            known.share_until = report.sent_at.after(SHARE_LEASE);
+            if known.heard.is_none_or(|(_, at)| at <= report.sent_at) {
                 known.limit = grant.limit;
             }
         }
@@ -208,7 +204,7 @@
     }
 }
 
-impl EndpointLimit {
+impl LimitState {
     fn new(now: TimePoint) -> Self {
         Self {
             heard: None,
@@ -281,18 +277,18 @@
         self.tokens_at = now;
     }
 
-    fn room(&self, now: TimePoint) -> SendRoom {
+    fn permit(&self, now: TimePoint) -> SendPermit {
         let share = self.held(now).as_per_second();
         let tokens = if now < self.share_until { self.tokens_now(now) } else { 0.0 };
         if tokens >= SURPLUS_FROM_REQUESTS {
-            SendRoom::Spare
+            SendPermit::Surplus
         } else if tokens >= 1.0 {
-            SendRoom::Fits
+            SendPermit::Allowed
         } else {
             // Without a share of its own, the entry waits until the whole limit allows one request.
             let limit = self.rate(now).unwrap_or_default().shared().as_per_second();
             let rate = if share > 0.0 { share } else { limit };
-            SendRoom::None { wait: Duration::from_secs_f64((1.0 - tokens) / rate) }
+            SendPermit::Denied { wait: Duration::from_secs_f64((1.0 - tokens) / rate) }
         }
     }
 }
--- a/crates/fleet/src/limit/limit_board.rs
+++ b/crates/fleet/src/limit/limit_allocator.rs
@@ -43,7 +43,7 @@
     /// When the endpoint advertised its current limit, or none.
     advertised_at: TimePoint,
     /// When an entry last reported on it.
-    heard: TimePoint,
+    reported_at: TimePoint,
     book: LimitBook,
     senders: Vec<LimitSender>,
 }
@@ -69,7 +69,7 @@
         nonce: u64,
         reports: &[LimitReport],
     ) -> Vec<EndpointGrant> {
-        self.endpoints.retain(|_, known| now.since(known.heard) < FORGET_AFTER);
+        self.endpoints.retain(|_, known| now.since(known.reported_at) < FORGET_AFTER);
         let holder = holder_of(entry);
         for report in reports {
             self.record_report(now, report);
@@ -103,7 +103,7 @@
         for (endpoint, rate) in cold.iter() {
             let fresh = || EndpointAllocation::new(now, since, None);
             let known = self.endpoints.get_or_insert_with(endpoint.clone(), fresh);
-            known.heard = now;
+            known.reported_at = now;
             known.set_cold(Some(*rate));
         }
     }
@@ -115,14 +115,14 @@
 
     fn record_report(&mut self, now: TimePoint, report: &LimitReport) {
         let known = self.endpoints.contains_key(&report.endpoint);
-        let tells = report.heard.is_some() || report.known.is_some();
-        if !known && (self.endpoints.len() >= MAX_TRACKED_ENDPOINTS || !tells) {
+        let has_limit = report.heard.is_some() || report.known.is_some();
+        if !known && (self.endpoints.len() >= MAX_TRACKED_ENDPOINTS || !has_limit) {
             return;
         }
         let since = self.since;
         let fresh = || EndpointAllocation::new(now, since, report.known);
         let known = self.endpoints.get_or_insert_with(report.endpoint.clone(), fresh);
-        known.heard = now;
+        known.reported_at = now;
         if let Some((named, age)) = report.heard {
             known.record_limit(now, named, Duration::from_millis(age));
         }
@@ -139,7 +139,7 @@
             limit,
             cold: None,
             advertised_at: TimePoint::default(),
-            heard: now,
+            reported_at: now,
             book: LimitBook::open(opened_at, limit.unwrap_or_default().shared().0, lease),
             senders: Vec::new(),
         }
@@ -191,28 +191,28 @@
     /// Whether `holder` is among the entries that may send; admits it if there is a place.
     fn admit_sender(&mut self, now: TimePoint, holder: HolderId, demand: EndpointRate) -> bool {
         self.senders.retain(|sender| now.since(sender.last_demand) < SENDER_IDLE_TIMEOUT);
-        let seats = self.seats();
-        self.senders.truncate(seats);
+        let max_senders = self.max_senders();
+        self.senders.truncate(max_senders);
         let wants = demand.0 > 0;
         if let Some(sender) = self.senders.iter_mut().find(|sender| sender.holder == holder) {
             sender.last_demand = if wants { now } else { sender.last_demand };
             return true;
         }
-        let seated = wants && self.senders.len() < seats;
-        if seated {
+        let admitted = wants && self.senders.len() < max_senders;
+        if admitted {
             self.senders.push(LimitSender { holder, last_demand: now });
         }
-        seated
+        admitted
     }
 
     /// Number of entries that may hold a share at one time: one, plus one for each request per
     /// second. The tokens of all of them then stay within half of what the limit allows in some
     /// seconds. The rate of a cold endpoint is measured over one second, so it gets half as many.
-    fn seats(&self) -> usize {
+    fn max_senders(&self) -> usize {
         let rate = self.rate().unwrap_or_default().as_per_second();
-        let seats = if self.cold.is_some() { rate / 2.0 } else { rate };
+        let senders = if self.cold.is_some() { rate / 2.0 } else { rate };
         // The cast saturates.
-        seats as usize + 1
+        senders as usize + 1
     }
 }
 
--- a/crates/fleet/src/limit/mod.rs
+++ b/crates/fleet/src/limit/mod.rs
@@ -10,13 +10,13 @@
 //! no entry sends to one before it knows that it is cold.
 
 mod entry_limits;
-mod limit_board;
+mod limit_allocator;
 mod terms;
 
 use std::time::Duration;
 
-pub use entry_limits::{EntryLimits, SendRoom};
-pub use limit_board::LimitBoard;
+pub use entry_limits::{EntryLimits, SendPermit};
+pub use limit_allocator::LimitBoard;
 pub use terms::{EndpointGrant, EndpointRate, LimitReport, LimitWord, NamedLimit};
 
 /// Lifetime of a share, counted from the entry's report. It is longer than an election, so that no
--- a/crates/fleet/src/message/mod.rs
+++ b/crates/fleet/src/message/mod.rs
@@ -56,7 +56,7 @@
         pub requests: f64,
         /// Time to prefill the prompts, in milliseconds.
         pub reading_ms: f64,
-        /// Sum of the squared prefill times, in square milliseconds; gives their variance.
+        /// Sum of the squared prefill times, in square milliseconds; shows how much prompts differ.
         pub reading_squares: f64,
         /// Estimated number of events in the answers.
         pub events: f64,
@@ -103,8 +103,8 @@
         pub nonce: Option<u64>,
         /// The deployment plan, if the entry holds an older one.
         pub plan: Option<StoredPlan>,
-        /// Changes of the fleet view, if the entry holds another version and the leader's view is
-        /// complete.
+        /// Update of the fleet view, if the entry holds another version. An entry with a complete
+        /// view gets no partial one.
         pub view: Option<ViewUpdate>,
         /// Update of the quarantine list, if the entry holds another version.
         pub prints: Option<PrintView>,
@@ -123,7 +123,7 @@
         pub leads: bool,
     }
 
-    /// What a control host tells the other control hosts about itself.
+    /// Information that a control host sends to the other control hosts about itself.
     pub struct HostHello {
         /// The control host.
         pub node: NodeName,
--- a/crates/fleet/src/message/view.rs
+++ b/crates/fleet/src/message/view.rs
@@ -107,10 +107,10 @@
         let count = |model: &str, open: bool| {
             self.groups.iter().filter(|group| group.model == model && group.open == open).count()
         };
-        let tell = |model: &&str| {
+        let describe = |model: &&str| {
             format!("{model} {} open {} not", count(model, true), count(model, false))
         };
-        let groups: Vec<String> = models.iter().map(tell).collect();
+        let groups: Vec<String> = models.iter().map(describe).collect();
         format!(
             "{}; {} endpoints, {} entries",
             groups.join(", "),
@@ -159,7 +159,7 @@
     }
 
     /// Returns the view after `update`, or `None` if the update applies to another version.
-    pub fn updated(&self, update: ViewUpdate) -> Option<Self> {
+    pub fn with_update(&self, update: ViewUpdate) -> Option<Self> {
         let ViewUpdate { base, version, entries, partial, .. } = update;
         let Some(base) = base else {
             let (endpoints, groups) = (update.endpoints, update.groups);
--- a/crates/fleet/src/state/format.rs
+++ b/crates/fleet/src/state/format.rs
@@ -22,7 +22,7 @@
 
 /// Reason why a snapshot cannot be decoded.
 #[derive(Debug, Snafu)]
-pub enum StateProblem {
+pub enum StateError {
     /// A later build wrote the snapshot.
     #[snafu(display(
         "the stored state has format {format}, but this build reads formats up to {STATE_FORMAT}; \
@@ -76,8 +76,8 @@
 /// Decodes a snapshot that this or an earlier build wrote.
 ///
 /// # Errors
-/// A `StateProblem` that tells a newer format from damaged bytes.
-pub fn decode_state(bytes: &[u8]) -> Result<FleetState, StateProblem> {
+/// A `StateError` that distinguishes a newer format from damaged bytes.
+pub fn decode_state(bytes: &[u8]) -> Result<FleetState, StateError> {
     match bytes {
         [FORMAT_MAGIC_BYTE, STATE_FORMAT, state @ ..] => {
             codec::decode(state).context(UnreadableSnafu)
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -15,7 +15,7 @@
 mod member_index;
 mod stored_plan;
 
-pub use format::{STATE_FORMAT, StateProblem, decode_state, encode_state};
+pub use format::{STATE_FORMAT, StateError, decode_state, encode_state};
 pub use member_index::MemberIndex;
 pub use stored_plan::{StoredPlan, UnpackProblem};
 
@@ -114,13 +114,13 @@
     /// The deployment plan is now in force.
     PlanInForce,
     /// The version in force is the same or newer; nothing changed.
-    PlanOvertaken,
+    PlanOutdated,
     /// The group was formed with this epoch.
     GroupFormed(GroupId),
     /// The group was not formed: one of its hosts is in another group or leaving.
-    GroupRefused,
+    GroupRejected,
     /// The command was applied and has no further result.
-    Noted,
+    Applied,
 }
 
 impl FleetState {
@@ -131,34 +131,34 @@
             FleetCommand::FormGroup(group) => self.form_group(group),
             FleetCommand::EndGroup(epoch) => {
                 self.groups.remove(epoch);
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
             FleetCommand::MarkLeaving(id) => self.mark_leaving(id),
             FleetCommand::Announce(records) => {
                 records.iter().for_each(|record| self.announce(record));
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
             FleetCommand::Forget(ids) => {
                 self.endpoints.retain(|id, _| !ids.contains(id));
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
             FleetCommand::Quarantine(record) => {
                 self.quarantine.add(record);
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
             FleetCommand::LiftQuarantine(print) => {
                 self.quarantine.lift(*print);
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
             FleetCommand::EvacuateZone(zone) => {
                 if let Err(place) = self.evacuated.binary_search(zone) {
                     self.evacuated.insert(place, zone.clone());
                 }
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
             FleetCommand::ReadmitZone(zone) => {
                 self.evacuated.retain(|known| known != zone);
-                FleetOutcome::Noted
+                FleetOutcome::Applied
             }
         }
     }
@@ -217,7 +217,7 @@
     fn put_plan(&mut self, plan: &StoredPlan) -> FleetOutcome {
         let held = self.plan.as_ref().map_or(0, |held| held.version);
         if self.plan.is_some() && plan.version <= held {
-            return FleetOutcome::PlanOvertaken;
+            return FleetOutcome::PlanOutdated;
         }
         self.plan = Some(plan.clone());
         FleetOutcome::PlanInForce
@@ -230,7 +230,7 @@
                 .any(|other| !other.standby && other.members.iter().any(|host| host.id == *id))
         };
         if group.members.iter().any(|host| taken(&host.id) || self.is_leaving(&host.id)) {
-            return FleetOutcome::GroupRefused;
+            return FleetOutcome::GroupRejected;
         }
         let joins = |id: &IncarnationId| group.members.iter().any(|host| host.id == *id);
         self.groups
@@ -253,6 +253,6 @@
         }
         let surplus = self.leaving.len().saturating_sub(MAX_LEAVING_ENDPOINTS);
         self.leaving.drain(..surplus);
-        FleetOutcome::Noted
+        FleetOutcome::Applied
     }
 }
--- a/crates/fleet/tests/agreed_state.rs
+++ b/crates/fleet/tests/agreed_state.rs
@@ -1,9 +1,9 @@
-//! The state that control hosts agree on.
+//! The state that control hosts replicate, and its encoding.
 
 use assert_matches::assert_matches;
 use briartray_fleet::state::{
     EndpointRecord, FleetCommand, FleetOutcome, FleetState, GroupHost, GroupRecord, STATE_FORMAT,
-    StateProblem, StoredPlan, UnpackProblem, decode_state, encode_state,
+    StateError, StoredPlan, UnpackProblem, decode_state, encode_state,
 };
 use briartray_model::codec;
 use briartray_model::names::{
@@ -12,7 +12,7 @@
 use briartray_quarantine::QuarantineRecord;
 use rand::{RngExt, SeedableRng};
 
-fn declaration(version: u64, text: &str) -> FleetCommand {
+fn put_plan(version: u64, text: &str) -> FleetCommand {
     FleetCommand::PutPlan(StoredPlan::pack(version, text.as_bytes()))
 }
 
@@ -30,29 +30,29 @@
     })
 }
 
-fn held(state: &FleetState) -> Option<(u64, String)> {
+fn plan_in_force(state: &FleetState) -> Option<(u64, String)> {
     let text = |plan: &StoredPlan| plan.text().expect("the text was packed here");
-    let read = |plan| String::from_utf8(text(plan)).expect("declarations are text");
+    let read = |plan| String::from_utf8(text(plan)).expect("the text is UTF-8");
     state.plan().map(|plan| (plan.version, read(plan)))
 }
 
-/// Two operators send different texts under one number, and an older one arrives last. The first
-/// text under the highest number stays in force, whatever comes again.
+/// Operators send two different plans with the same version, and an older one arrives last. The
+/// first plan with the highest version must stay in force.
 #[test]
 fn the_highest_version_stays_in_force() {
     let mut state = FleetState::default();
 
-    assert_eq!(state.apply(&declaration(3, "first")), FleetOutcome::PlanInForce);
-    assert_eq!(state.apply(&declaration(3, "other")), FleetOutcome::PlanOvertaken);
-    assert_eq!(state.apply(&declaration(2, "older")), FleetOutcome::PlanOvertaken);
+    assert_eq!(state.apply(&put_plan(3, "first")), FleetOutcome::PlanInForce);
+    assert_eq!(state.apply(&put_plan(3, "other")), FleetOutcome::PlanOutdated);
+    assert_eq!(state.apply(&put_plan(2, "older")), FleetOutcome::PlanOutdated);
 
-    assert_eq!(held(&state), Some((3, "first".to_owned())));
+    assert_eq!(plan_in_force(&state), Some((3, "first".to_owned())));
 }
 
-/// A group ends and another one is formed of its hosts. Its number is higher than any before, so
-/// that endpoints refuse orders for the old one which arrive late.
+/// A group ends and another one is formed of its hosts. Its epoch must be higher than any before,
+/// so that endpoints reject orders for the old group that arrive late.
 #[test]
-fn epochs_are_never_used_again() {
+fn epochs_are_never_reused() {
     let mut state = FleetState::default();
 
     assert_eq!(state.apply(&group(&["a", "b"], false)), FleetOutcome::GroupFormed(GroupId(1)));
@@ -61,19 +61,20 @@
     assert_eq!(state.apply(&group(&["a", "b"], false)), FleetOutcome::GroupFormed(GroupId(2)));
 }
 
-/// Two leaders, one of them deposed a moment ago, plan the same host into different groups. The
-/// second group is not formed.
+/// Two leaders, one of them just deposed, assign the same host to different groups. The second
+/// group must not be formed.
 #[test]
 fn a_host_is_in_one_group_only() {
     let mut state = FleetState::default();
     state.apply(&group(&["a", "b"], false));
 
-    assert_eq!(state.apply(&group(&["b", "c"], false)), FleetOutcome::GroupRefused);
+    assert_eq!(state.apply(&group(&["b", "c"], false)), FleetOutcome::GroupRejected);
 }
 
-/// A spare keeps its model warm in a group of its own, which ends when the spare is called on.
+/// A spare host keeps its model warm in a standby group, which must end when the host joins a
+/// serving group.
 #[test]
-fn a_standby_group_gives_way() {
+fn a_standby_group_ends_when_its_host_joins_another() {
     let mut state = FleetState::default();
     state.apply(&group(&["s"], true));
 
@@ -82,19 +83,20 @@
     assert_eq!(state.groups().len(), 1);
 }
 
-/// An endpoint has said that it leaves, and a leader that has not heard of it plans a group.
+/// An endpoint has announced that it leaves, and a leader that does not know of it yet plans a
+/// group with it.
 #[test]
 fn a_leaving_host_joins_no_group() {
     let mut state = FleetState::default();
     state.apply(&FleetCommand::MarkLeaving(IncarnationId::new("a")));
 
-    assert_eq!(state.apply(&group(&["a", "b"], false)), FleetOutcome::GroupRefused);
+    assert_eq!(state.apply(&group(&["a", "b"], false)), FleetOutcome::GroupRejected);
 }
 
 #[test]
-fn a_snapshot_holds_everything() {
+fn a_snapshot_contains_the_whole_state() {
     let mut state = FleetState::default();
-    state.apply(&declaration(3, "first"));
+    state.apply(&put_plan(3, "first"));
     state.apply(&group(&["a", "b"], false));
     state.apply(&FleetCommand::MarkLeaving(IncarnationId::new("x")));
     state.apply(&FleetCommand::Announce(vec![EndpointRecord {
@@ -112,11 +114,12 @@
     assert_eq!(copy, state);
 }
 
-/// An operator declares 1,700 routes and changes one of them every third of a second. Sent as it came,
-/// each change filled the link of the leading control host for a second, its heartbeats came late,
-/// and another host took over. The routes are alike; packed they take a sixth at the most.
+/// An operator declares 1,700 routes and changes one of them every third of a second. Without
+/// compression each change occupied the link of the leader for a second, its heartbeats arrived
+/// late, and another host took over. Compressed, the routes must take at most a sixth of their
+/// size.
 #[test]
-fn large_declarations_take_little_room_and_come_back_whole() {
+fn large_plans_are_compressed_and_unpack_unchanged() {
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     let mut word = || -> u64 { random.random_range(0..u64::from(u32::MAX)) };
     let route = |_| {
@@ -136,21 +139,22 @@
     assert_eq!(plan.text().expect("it unpacks"), text.as_bytes());
 }
 
-/// A stored declaration was damaged on its way. It is told so, with what to do, and no text is made up.
+/// A stored plan was damaged. The damage must be reported with a remedy, and no text returned.
 #[test]
-fn damaged_declarations_are_told() {
+fn damaged_plans_are_reported() {
     let plan = StoredPlan::pack(7, &[b'x'; 4_000]);
     let mut bytes = codec::encode(&plan).expect("a plan encodes");
     let last = bytes.len() - 2;
     bytes.truncate(last);
     bytes.extend([0xff, 0xff]);
 
-    let damaged: StoredPlan = codec::decode(&bytes).expect("the frame is whole");
+    let damaged: StoredPlan = codec::decode(&bytes).expect("the frame is complete");
 
     assert_matches!(damaged.text(), Err(UnpackProblem::Damaged { .. }));
 }
 
-/// Guards against a quarantine that is gone after a stop of everything: snapshots carry it.
+/// Guards against losing the quarantine when the whole deployment restarts: snapshots must contain
+/// it.
 #[test]
 fn a_snapshot_carries_the_quarantine() {
     let record = QuarantineRecord {
@@ -174,9 +178,9 @@
     ZoneName::new(name)
 }
 
-/// Guards against an evacuation that a second one, or the end of another one, undoes.
+/// Guards against an evacuation that is undone by another evacuation, or by the end of another one.
 #[test]
-fn zones_are_evacuated_each_by_itself() {
+fn zones_are_evacuated_independently() {
     let mut state = FleetState::default();
 
     for name in ["b", "a", "b"] {
@@ -190,15 +194,15 @@
     assert!(state.is_evacuated(&zone("a")) && !state.is_evacuated(&zone("b")));
 }
 
-/// What the build before evacuations wrote into a snapshot.
-const FIRST_FORMAT: &[u8] = include_bytes!("data/state-format-1.bin");
+/// Snapshot written by a build that did not have evacuations yet.
+const FORMAT_ONE_SNAPSHOT: &[u8] = include_bytes!("data/state-format-1.bin");
 
-/// Guards against a data folder of an earlier build that does not open any more.
+/// Guards against a data folder of an earlier build that can no longer be opened.
 #[test]
 fn a_snapshot_of_the_first_format_is_read() {
-    let state = decode_state(FIRST_FORMAT).expect("the format is known");
+    let state = decode_state(FORMAT_ONE_SNAPSHOT).expect("the format is known");
 
-    assert_eq!(held(&state), Some((7, "a declaration".to_owned())));
+    assert_eq!(plan_in_force(&state), Some((7, "a declaration".to_owned())));
     assert_eq!(state.groups().keys().copied().collect::<Vec<_>>(), [GroupId(1)]);
     assert!(state.is_leaving(&IncarnationId::new("c")));
     assert_eq!(state.endpoints().len(), 1);
@@ -208,22 +212,22 @@
     assert_eq!(decode_state(&written).expect("it was just written"), state);
 }
 
-/// Guards against an older build that takes the state of a newer one for damaged, or for its own.
+/// Guards against an older build that takes the state of a newer one for damaged, or accepts it.
 #[test]
-fn a_newer_format_is_told_from_damage() {
+fn a_newer_format_is_distinguished_from_damage() {
     let mut state = FleetState::default();
     state.apply(&FleetCommand::EvacuateZone(zone("a")));
     let mut newer = encode_state(&state).expect("plain data has an encoding");
-    let whole = newer.clone();
+    let complete = newer.clone();
     newer[1] = STATE_FORMAT + 1;
 
-    assert_matches!(decode_state(&newer), Err(StateProblem::Newer { format }) if format == STATE_FORMAT + 1);
-    for length in 0..whole.len() {
+    assert_matches!(decode_state(&newer), Err(StateError::Newer { format }) if format == STATE_FORMAT + 1);
+    for length in 0..complete.len() {
         assert_matches!(
-            decode_state(&whole[..length]),
-            Err(StateProblem::Unreadable { .. }),
+            decode_state(&complete[..length]),
+            Err(StateError::Unreadable { .. }),
             "{length}"
         );
     }
-    assert_eq!(decode_state(&whole).expect("it is whole"), state);
+    assert_eq!(decode_state(&complete).expect("the bytes are complete"), state);
 }
--- a/crates/fleet/tests/deployment.rs
+++ b/crates/fleet/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! Declarations: what is refused, and which rule decides.
+//! Checks of deployment plans, and route lookup.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_longest_prefix_decides() {
+fn the_longest_prefix_wins() {
     let routes =
         vec![route("all", "a", "/"), route("docs", "a", "/docs/"), route("new", "a", "/docs/new/")];
     let book = RouteBook::compile(plan(routes));
@@ -70,10 +70,10 @@
     assert_eq!(book.find("b", "/docs/"), None);
 }
 
-/// Hundreds of routes are looked up by prefix instead of being tried one after the other. Whatever
-/// the routes, both ways have to name the same one.
+/// Routes are found by binary search over the prefixes of a path. For any set of routes, the result
+/// must be the same as that of a linear search.
 #[test]
-fn lookup_agrees_with_trying_every_route() {
+fn lookup_agrees_with_a_linear_search() {
     let mut random = ChaCha8Rng::seed_from_u64(11);
     let part = |random: &mut ChaCha8Rng| ["a", "b", "cc"][random.random_range(0..3)];
     let path = |random: &mut ChaCha8Rng| -> String {
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn keys_name_their_team() {
+fn keys_identify_their_team() {
     let book = RouteBook::compile(plan(vec![route("all", "a", "/")]));
 
     assert_eq!(book.access("key-3").map(|access| access.team.as_str()), Some("buyers"));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn unknown_service_is_refused() {
+fn an_unknown_service_is_rejected() {
     let mut wrong = route("lost", "a", "/");
     wrong.targets[0].service = ServiceName::new("nowhere");
 
@@ -117,30 +117,30 @@
 }
 
 #[test]
-fn same_host_and_prefix_are_refused() {
+fn duplicate_host_and_prefix_are_rejected() {
     let routes = vec![route("one", "a", "/x/"), route("two", "a", "/x/")];
 
-    assert_matches!(plan(routes).check(), Err(PlanProblem::SamePlace { .. }));
+    assert_matches!(plan(routes).check(), Err(PlanProblem::DuplicateRoute { .. }));
 }
 
 #[test]
-fn weights_of_nothing_are_refused() {
+fn zero_weights_are_rejected() {
     let mut wrong = route("idle", "a", "/");
     wrong.targets[0].weight = 0;
 
-    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::NoWeight { .. }));
+    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::ZeroWeight { .. }));
 }
 
 #[test]
-fn no_time_is_refused() {
+fn a_zero_timeout_is_rejected() {
     let mut wrong = route("hasty", "a", "/");
     wrong.timeout = Duration::ZERO;
 
-    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::NoTimeout { .. }));
+    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::ZeroTimeout { .. }));
 }
 
 #[test]
-fn a_key_of_two_teams_is_refused() {
+fn a_key_of_two_teams_is_rejected() {
     let mut wrong = plan(vec![route("all", "a", "/")]);
     wrong.teams.push(team("late", &["key-1"]));
 
--- a/crates/fleet/tests/entry_decisions.rs
+++ b/crates/fleet/tests/entry_decisions.rs
@@ -1,4 +1,4 @@
-//! What an entry decides: lease, budget, choice, repeats, and whole events.
+//! Decisions of an entry: lease, retry budget, target selection, retries, and splitting of events.
 
 use std::time::Duration;
 
@@ -68,14 +68,14 @@
     table_with(groups, 1)
 }
 
-/// A table with `groups` whose draws are those of `seed`.
+/// A table with `groups` groups, whose random choices are seeded with `seed`.
 fn table_with(groups: u64, seed: u64) -> TargetTable {
     let mut table = TargetTable::new(ZoneName::new("a"), seed);
     table.adopt(TimePoint(0), view(groups));
     table
 }
 
-/// A view of `groups` that are open, and of three plain endpoints.
+/// A view with `groups` open groups and three plain endpoints.
 fn view(groups: u64) -> FleetView {
     let group = |number| GroupView {
         group: GroupId(number),
@@ -104,15 +104,15 @@
 
 fn choose(table: &mut TargetTable, now: TimePoint) -> Result<TargetId, ChoiceRefusal> {
     let desk = ServiceName::new("desk");
-    let wish = TargetWish { service: &desk, model: Some("small"), tried: &[] };
-    table.choose(now, &book(), &wish).map(|choice| choice.target)
+    let query = TargetWish { service: &desk, model: Some("small"), tried: &[] };
+    table.choose(now, &book(), &query).map(|choice| choice.target)
 }
 
-/// An entry is cut off from the control hosts. A key may be taken away meanwhile, so it may serve
-/// callers with keys only for the time within which the key must be refused, counted from when the
-/// entry asked. It serves nearly as long: callers would be refused for seconds while a leader is elected.
+/// An entry is cut off from the control hosts, and a key may be revoked meanwhile. It may serve
+/// callers with keys only within the revocation time, counted from when it sent its report. The
+/// lease must be nearly that long, or callers would be refused for seconds during an election.
 #[test]
-fn a_lease_runs_from_when_it_was_asked_for() {
+fn a_lease_runs_from_when_its_report_was_sent() {
     let revocation = Duration::from_millis(5_000);
     let mut lease = EntryLease::new(revocation);
     let nonce = lease.ask(at(0));
@@ -125,29 +125,29 @@
     assert_eq!(lease.until(), at(4_500), "an answer counts once");
 }
 
-/// Half of all endpoints die and every request could be sent twice. Over eight entries the repeats
-/// stay below a fifth of the requests and the allowance.
+/// Half of all endpoints fail, and every request could be retried. Over eight entries the retries
+/// must stay below a fifth of the requests plus the allowance.
 #[test]
-fn repeats_of_all_entries_stay_in_the_budget() {
+fn retries_of_all_entries_stay_within_the_budget() {
     let service = ServiceName::new("desk");
     let window = Duration::from_secs(10);
     let mut budgets = vec![RetryBudget::new(0.2, 160.0, window); 8];
-    let mut repeats = 0;
+    let mut retries = 0;
 
     for step in 0..10_000 {
         let budget = &mut budgets[step % 8];
         budget.request(at(step as u64), &service);
-        repeats += usize::from(budget.take(at(step as u64), &service, 8));
+        retries += usize::from(budget.take(at(step as u64), &service, 8));
     }
 
-    assert!(repeats <= 10_000 / 5 + 160, "{repeats} repeats");
-    assert!(repeats > 1_000, "{repeats} repeats");
+    assert!(retries <= 10_000 / 5 + 160, "{retries} retries");
+    assert!(retries > 1_000, "{retries} retries");
 }
 
-/// A group is full. A further request would wait there for a second and be late; it is refused
-/// while it can still come back in time.
+/// A group is full. Another request would wait there for a second and be late, so it must be
+/// refused while the caller still has time to retry.
 #[test]
-fn full_groups_are_not_sent_to() {
+fn full_groups_get_no_requests() {
     let mut table = table(2);
     let full = LoadSample { running: SLOTS, waiting: 0, slots: SLOTS };
 
@@ -158,8 +158,9 @@
     assert_eq!(choose(&mut table, at(20)), Err(ChoiceRefusal::Full));
 }
 
-/// Everything was stopped at once. The first news of the new leader names the endpoints that serve alone,
-/// and groups whose first hosts have not answered it yet: callers of a model wait for those.
+/// The whole deployment restarted. The first update of the new leader lists plain endpoints, and
+/// groups whose first hosts have not answered it yet. Requests for a model must wait for those
+/// groups.
 #[test]
 fn a_model_is_served_once_one_of_its_groups_is_open() {
     let desk = ServiceName::new("desk");
@@ -176,11 +177,12 @@
     assert!(table.serves(&ServiceName::new("ledger"), None));
 }
 
-/// Many entries stand before many groups, and each has an answer of a group every few seconds. Two
-/// seconds after one an entry took the group for empty, sent to those that the others had filled, and
-/// its callers waited there. The leader tells what the others have.
+/// With many entries and many groups, an entry gets an answer from a given group only every few
+/// seconds. Two seconds after one, the entry took the group for empty and sent requests to groups
+/// that others had filled, where its callers waited. The totals that the leader sends must prevent
+/// this.
 #[test]
-fn groups_that_the_other_entries_fill_are_not_sent_to() {
+fn groups_that_other_entries_fill_get_no_requests() {
     let mut table = table(3);
     let others = |group, others| GroupLoad { group: GroupId(group), others };
 
@@ -191,10 +193,10 @@
     }
 }
 
-/// A group has just told an entry its load with an answer. What the leader sums up of the reports is
-/// older, and does not replace it.
+/// A group has just reported its load to an entry with an answer. The leader's total of the
+/// entries' reports is older and must not replace it.
 #[test]
-fn what_a_group_told_itself_is_newer_than_a_sum_of_reports() {
+fn a_load_reported_by_the_group_precedes_the_total_of_the_leader() {
     let mut table = table(1);
     let target = TargetId::Group(GroupId(1));
     let others = [GroupLoad { group: GroupId(1), others: SLOTS }];
@@ -209,10 +211,10 @@
     assert_eq!(late, Err(ChoiceRefusal::Full));
 }
 
-/// A member of a group dies: its head goes on accepting, and nothing comes any more. The entry
-/// leaves the group alone after a few hundred milliseconds instead of six seconds.
+/// A member of a group fails: the head still accepts requests, but sends nothing. The entry must
+/// stop choosing the group after a few hundred milliseconds instead of six seconds.
 #[test]
-fn a_silent_group_is_left_alone() {
+fn a_silent_group_gets_no_requests() {
     let mut table = table(1);
     let target = choose(&mut table, at(0)).expect("a group serves");
     table.begin(at(0), &target);
@@ -226,10 +228,10 @@
     assert_eq!(choose(&mut table, at(710)), Ok(target));
 }
 
-/// One host of a group works at a quarter of its usual pace, and the whole group with it. It gets a
-/// few requests and the others the rest, instead of equal parts.
+/// One host of a group runs at a quarter of its usual speed, and slows down the whole group. The
+/// group must get few requests instead of an equal part.
 #[test]
-fn slow_groups_get_less() {
+fn slow_groups_get_fewer_requests() {
     let mut table = table(3);
     for (group, millis) in [(1, 200), (2, 200), (3, 800)] {
         table.first_part(at(0), &TargetId::Group(GroupId(group)), Duration::from_millis(millis));
@@ -237,7 +239,7 @@
     let mut counts = [0_u32; 4];
 
     for step in 0..30 {
-        let target = choose(&mut table, at(step)).expect("there is room");
+        let target = choose(&mut table, at(step)).expect("a target has free capacity");
         table.begin(at(step), &target);
         if let TargetId::Group(group) = target {
             counts[usize::try_from(group.0).expect("a small number")] += 1;
@@ -247,22 +249,22 @@
     assert!(counts[3] <= 3, "{counts:?}");
 }
 
-/// A leader has just taken over and has heard of one group in four. An entry that knows them all goes on
-/// sending to all; one that was restarted takes what there is.
+/// A leader has just taken over and has heard from one group in four. An entry that knows all
+/// groups must keep sending to all; a restarted entry must use the partial view.
 #[test]
-fn a_partial_view_replaces_nothing_but_another_one() {
+fn a_partial_view_replaces_only_another_partial_one() {
     let part = || FleetView { partial: true, ..FleetView::default() };
-    let mut knowing = table(4);
+    let mut informed = table(4);
     let mut restarted = TargetTable::new(ZoneName::new("a"), 1);
 
-    knowing.adopt(TimePoint(0), part());
+    informed.adopt(TimePoint(0), part());
     restarted.adopt(TimePoint(0), FleetView { entries: 3, ..part() });
 
-    assert!(!knowing.is_empty());
+    assert!(!informed.is_empty());
     assert_eq!(restarted.entries(), 3);
 }
 
-/// An endpoint leaves; whatever view still names it, nothing more is sent there.
+/// An endpoint leaves. Nothing more may be sent to it, even if a view still lists it.
 #[test]
 fn leaving_endpoints_are_not_chosen() {
     let mut table = table(1);
@@ -278,7 +280,7 @@
     let mut counts = [0_u32; 5];
 
     for step in 0..100 {
-        let target = choose(&mut table, at(step)).expect("there is room");
+        let target = choose(&mut table, at(step)).expect("a target has free capacity");
         table.begin(at(step), &target);
         if let TargetId::Group(group) = target {
             counts[usize::try_from(group.0).expect("a small number")] += 1;
@@ -292,17 +294,17 @@
     AttemptPlan { kind, runs, max_attempts: 2, may_try }
 }
 
-/// The connection dies under a confirmation that may run once. It may have run: it is neither sent
-/// again, nor is the caller told that it has not run.
+/// The connection breaks under a request that may run only once. It may have run, so it must not be
+/// sent again, and the caller must not be told that it did not run.
 #[test]
-fn what_may_have_run_once_is_not_sent_again() {
+fn a_run_once_request_that_may_have_run_is_not_retried() {
     let plan = attempt(RepeatKind::Once, 1, true);
 
     assert_eq!(plan.next(AttemptEnd::MayHaveRun), NextMove::Unknown);
 }
 
 #[test]
-fn what_has_not_run_is_sent_again_or_refused() {
+fn a_request_that_did_not_run_is_retried_or_refused() {
     assert_eq!(attempt(RepeatKind::Once, 0, true).next(AttemptEnd::NotRun), NextMove::SendAgain);
     assert_eq!(attempt(RepeatKind::Once, 0, false).next(AttemptEnd::NotRun), NextMove::Refuse);
 }
@@ -317,27 +319,27 @@
     assert_eq!(enough.next(AttemptEnd::MayHaveRun), NextMove::Unknown);
 }
 
-/// A replica dies in the middle of an event. Only whole events count, and their ids tell where
-/// another replica goes on.
+/// A replica fails in the middle of an event. Only complete events may be returned, and their ids
+/// tell where another replica resumes.
 #[test]
-fn events_are_cut_whole() {
-    let mut cutter = EventCutter::default();
+fn only_complete_events_are_returned() {
+    let mut splitter = EventCutter::default();
 
-    assert!(cutter.push(b"id: 7\ndata: a\n\nid: 8\nda"));
+    assert!(splitter.push(b"id: 7\ndata: a\n\nid: 8\nda"));
 
-    let first = cutter.next_event().expect("a whole event");
+    let first = splitter.next_event().expect("a complete event");
     assert_eq!((first.id, first.bytes.as_slice()), (Some(7), b"id: 7\ndata: a\n\n".as_slice()));
-    assert_eq!(cutter.next_event(), None);
-    assert!(cutter.has_rest());
-    assert!(cutter.push(b"ta: b\n\n"));
-    assert_eq!(cutter.next_event().and_then(|event| event.id), Some(8));
+    assert_eq!(splitter.next_event(), None);
+    assert!(splitter.has_rest());
+    assert!(splitter.push(b"ta: b\n\n"));
+    assert_eq!(splitter.next_event().and_then(|event| event.id), Some(8));
 }
 
-/// All processes are started again at once, and callers come before the new leader is known. They
-/// were refused, and most of them for the second time; now they wait for the second that an election
-/// takes, and no longer than their own time allows.
+/// All processes restart at once, and callers arrive before the new leader is known. They were
+/// refused, most of them for the second time. They must wait for the second that an election takes,
+/// but not longer than their deadlines allow.
 #[test]
-fn requests_wait_for_the_first_news_after_a_start() {
+fn requests_wait_for_the_first_update_after_a_start() {
     let started = TimePoint(5_000_000);
     let wait = StartupWait::new(started);
     let long = Duration::from_secs(8);
@@ -353,24 +355,27 @@
     assert_eq!(later, Duration::ZERO);
 }
 
-/// An entry is told to end and a caller still reaches it three seconds later. A long answer that is
-/// begun then is cut off by the end of the grace period, and the caller sees half of it.
+/// An entry is shutting down and a caller still reaches it three seconds later. A long answer that
+/// starts then is cut off at the end of the grace period, and the caller gets only half of it.
 #[test]
-fn nothing_is_taken_in_the_last_part_of_a_planned_stop() {
+fn no_connection_is_accepted_late_in_a_shutdown() {
     let schedule = DrainSchedule::new(Duration::from_secs(8));
     let short = DrainSchedule::new(Duration::from_secs(2));
 
     assert!(schedule.listen < Duration::from_secs(3), "{schedule:?}");
     assert!(schedule.cut - schedule.listen > Duration::from_millis(4_800), "{schedule:?}");
-    assert!(schedule.listen > Duration::from_millis(2_500), "the balancer still sends callers");
+    assert!(
+        schedule.listen > Duration::from_millis(2_500),
+        "the load balancer still sends callers"
+    );
     assert!(short.listen < short.cut, "{short:?}");
 }
 
-/// A group was just mended and has no work yet, as every entry knows, and the two others have some.
-/// Until its first answers tell otherwise nine entries would send it all that comes: thirty prompts
-/// that are read one after the other, each of them late.
+/// A group was just repaired and has no work yet, as every entry knows, while the two other groups
+/// have some. Until its first answers arrive, nine entries would send it all requests: thirty
+/// prompts that are prefilled one after the other, each of them late.
 #[test]
-fn a_new_group_is_not_flooded() {
+fn a_new_group_is_not_overloaded() {
     let mut sent = [0; 3];
     for entry in 0..9 {
         let mut table = table_with(3, entry);
@@ -379,7 +384,7 @@
             table.sample(at(0), &TargetId::Group(GroupId(group)), busy);
         }
         for step in 0..4 {
-            let target = choose(&mut table, at(step * 50)).expect("there is room");
+            let target = choose(&mut table, at(step * 50)).expect("a target has free capacity");
             table.begin(at(step * 50), &target);
             let TargetId::Group(GroupId(group)) = target else { continue };
             sent[group as usize - 1] += 1;
@@ -387,6 +392,6 @@
     }
 
     assert_eq!(sent.iter().sum::<i32>(), 36);
-    assert!(sent[2] > sent[0] && sent[2] > sent[1], "the empty one gets most: {sent:?}");
-    assert!(sent[2] <= 24, "and not nearly all: {sent:?}");
+    assert!(sent[2] > sent[0] && sent[2] > sent[1], "the empty group gets most requests: {sent:?}");
+    assert!(sent[2] <= 24, "but not nearly all: {sent:?}");
 }
--- a/crates/fleet/tests/questions.rs
+++ b/crates/fleet/tests/probes.rs
@@ -1,4 +1,4 @@
-//! Questions to endpoints that nobody answers, or whose answers nobody reads.
+//! Probes of endpoints that get lost, or whose answers are not read in time.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     IncarnationId::new("i-1")
 }
 
-/// A table with one host that is watched, and the time of its first question.
-fn watched() -> (HostTable, TimePoint) {
+/// A table with one probed host, and the time when its first probe is due.
+fn probed_host() -> (HostTable, TimePoint) {
     let now = TimePoint(1_000_000);
     let mut table = HostTable::default();
     let report =
@@ -31,34 +31,34 @@
     (table, now.after(Duration::from_secs(1)))
 }
 
-fn ask(table: &mut HostTable, now: TimePoint) -> Vec<ProbeCall> {
+fn due_probes(table: &mut HostTable, now: TimePoint) -> Vec<ProbeCall> {
     table.due_probes(now, |_| true)
 }
 
-/// A control host dies with the questions that it was to ask for the leader. Their endpoints are asked again
-/// soon, by the leader itself, and are not taken for silent.
+/// A control host fails while it holds probes to send for the leader. The leader must soon repeat
+/// these probes itself, and must not count the endpoints as silent.
 #[test]
-fn a_question_that_is_lost_is_asked_again() {
-    let (mut table, now) = watched();
-    let first = ask(&mut table, now);
-    let meanwhile = ask(&mut table, now.after(Duration::from_millis(300)));
+fn a_lost_probe_is_repeated() {
+    let (mut table, now) = probed_host();
+    let first = due_probes(&mut table, now);
+    let meanwhile = due_probes(&mut table, now.after(Duration::from_millis(300)));
 
-    let again = ask(&mut table, now.after(Duration::from_millis(700)));
+    let again = due_probes(&mut table, now.after(Duration::from_millis(700)));
 
     assert!(first.len() == 1 && !first[0].urgent && meanwhile.is_empty());
     assert!(again.len() == 1 && again[0].urgent);
     assert_eq!(table.get(&host()).map(|host| host.failures), Some(0));
 }
 
-/// A control host that is short of processor time reads answers too late. That says nothing about the
-/// endpoints: taken for lost, their groups would be taken apart.
+/// A control host that is short of processor time reads probe answers too late. That says nothing
+/// about the endpoints; if they counted as lost, their groups would be dissolved.
 #[test]
-fn an_answer_that_nobody_had_time_to_read_is_no_silence() {
-    let (mut table, now) = watched();
+fn an_answer_that_was_read_too_late_is_no_failure() {
+    let (mut table, now) = probed_host();
 
     for round in 0..5 {
         let now = now.after(Duration::from_millis(round * 200));
-        assert_eq!(ask(&mut table, now).len(), 1);
+        assert_eq!(due_probes(&mut table, now).len(), 1);
         table.unread(now, &host());
     }
 
--- a/crates/fleet/tests/pulses.rs
+++ b/crates/fleet/tests/pulses.rs
@@ -1,4 +1,4 @@
-//! What entries see of groups that the control hosts cannot reach.
+//! Entries' observations of groups that the control hosts cannot reach.
 
 use std::time::Duration;
 
@@ -9,63 +9,63 @@
 
 const GROUP: GroupId = GroupId(7);
 
-/// Silence after which a group of four hosts most likely stands still.
-const LIMIT: Duration = Duration::from_millis(416);
+/// Silence after which a group of four hosts has most likely stopped.
+const SILENCE_LIMIT: Duration = Duration::from_millis(416);
 
 fn at(millis: u64) -> TimePoint {
     TimePoint(10_000_000 + millis * 1_000)
 }
 
-fn tell(book: &mut PulseBook, now: TimePoint, entry: &str, quiet_ms: u64, suspect: bool) {
+fn report(book: &mut PulseBook, now: TimePoint, entry: &str, quiet_ms: u64, suspect: bool) {
     let pulse = GroupPulse { group: GROUP, quiet_ms: Some(quiet_ms), running: 1, suspect };
     book.take(now, &NodeName::new(entry), &[pulse]);
 }
 
-/// Endpoints are cut off from the control hosts and from the entries beside them, and serve the
+/// Endpoints are cut off from the control hosts and from the entries near them, but serve the
 /// callers of all other entries. An entry reports four times a second and a loaded group pauses for
-/// up to 280 ms, so its last byte may be half a second old when the leader looks; the group was
-/// taken apart then, while callers were served by it.
+/// up to 280 ms, so its last byte may be half a second old when the leader checks. The leader then
+/// dissolved the group although it served callers.
 #[test]
 fn an_entry_that_is_served_keeps_a_group() {
     let mut book = PulseBook::default();
 
-    tell(&mut book, at(0), "cut-off", 900, true);
-    tell(&mut book, at(10), "served", 270, false);
+    report(&mut book, at(0), "cut-off", 900, true);
+    report(&mut book, at(10), "served", 270, false);
 
-    assert!(book.is_moving(at(255), GROUP, LIMIT));
-    assert!(!book.is_suspect(at(255), GROUP, LIMIT));
+    assert!(book.is_moving(at(255), GROUP, SILENCE_LIMIT));
+    assert!(!book.is_suspect(at(255), GROUP, SILENCE_LIMIT));
 }
 
-/// A member dies. Every entry with a request on the group finds it silent and says so at once, which
-/// takes back what it said before.
+/// A member fails. Every entry with a request on the group detects the silence and reports it at
+/// once, which must replace what the entry reported before.
 #[test]
-fn entries_that_find_silence_take_their_word_back() {
+fn a_report_of_silence_replaces_earlier_reports() {
     let mut book = PulseBook::default();
-    tell(&mut book, at(0), "a", 20, false);
-    tell(&mut book, at(50), "b", 30, false);
+    report(&mut book, at(0), "a", 20, false);
+    report(&mut book, at(50), "b", 30, false);
 
-    tell(&mut book, at(420), "a", 440, true);
-    tell(&mut book, at(425), "b", 405, true);
+    report(&mut book, at(420), "a", 440, true);
+    report(&mut book, at(425), "b", 405, true);
 
-    assert!(!book.is_moving(at(430), GROUP, LIMIT));
-    assert!(book.is_suspect(at(430), GROUP, LIMIT));
+    assert!(!book.is_moving(at(430), GROUP, SILENCE_LIMIT));
+    assert!(book.is_suspect(at(430), GROUP, SILENCE_LIMIT));
 }
 
-/// An entry ends. What it said last is no proof for long.
+/// An entry ends. Its last report must expire soon.
 #[test]
-fn words_grow_old() {
+fn reports_expire() {
     let mut book = PulseBook::default();
 
-    tell(&mut book, at(0), "gone", 10, false);
+    report(&mut book, at(0), "gone", 10, false);
 
-    assert!(book.is_moving(at(300), GROUP, LIMIT));
-    assert!(!book.is_moving(at(360), GROUP, LIMIT));
+    assert!(book.is_moving(at(300), GROUP, SILENCE_LIMIT));
+    assert!(!book.is_moving(at(360), GROUP, SILENCE_LIMIT));
 }
 
-/// Each entry knows its own requests on a group and little of the others'. The leader sums up what all
-/// of them report, so that none sends to a group which the others have filled.
+/// An entry knows its own requests on a group, but little of those of other entries. The leader
+/// must sum up the reports of all entries, so that none sends to a group that others have filled.
 #[test]
-fn the_requests_of_the_other_entries_are_summed_up() {
+fn the_requests_of_the_other_entries_are_added_up() {
     let mut book = PulseBook::default();
     let running = |running| GroupPulse { group: GROUP, quiet_ms: None, running, suspect: false };
     let [first, second, third] = ["first", "second", "third"].map(NodeName::new);
@@ -80,18 +80,18 @@
     assert_eq!(book.loads_beside(&third, 0), [GroupLoad { group: GROUP, others: 2 }]);
 }
 
-/// At the design size 2,800 groups would not fit into each answer. They are told in turns, and none is
-/// left out.
+/// The loads of 2,800 groups, the design size, do not fit into each answer. They must be sent in
+/// turns, without leaving any out.
 #[test]
-fn the_loads_of_many_groups_are_told_in_turns() {
+fn the_loads_of_many_groups_are_sent_in_turns() {
     let mut book = PulseBook::default();
-    let [teller, reader] = ["teller", "reader"].map(NodeName::new);
+    let [sender, reader] = ["sender", "reader"].map(NodeName::new);
     let pulse =
         |group| GroupPulse { group: GroupId(group), quiet_ms: None, running: 1, suspect: false };
     let pulses: Vec<GroupPulse> = (0..2_800).map(pulse).collect();
-    book.take(at(0), &teller, &pulses);
+    book.take(at(0), &sender, &pulses);
 
-    // Four answers a second for three seconds.
+    // Four answers per second for three seconds.
     let told: Vec<Vec<GroupLoad>> = (5..17).map(|turn| book.loads_beside(&reader, turn)).collect();
 
     let mut groups: Vec<GroupId> = told.iter().flatten().map(|load| load.group).collect();
@@ -101,10 +101,11 @@
     assert!(told.iter().all(|loads| loads.len() <= 300), "none of them is large");
 }
 
-/// The reports of an entry are lost for two seconds, in which its requests on a group end. Its next one
-/// does not name the group any more. Its last word stayed, and the others left the group alone as full.
+/// The reports of an entry are lost for two seconds, in which its requests on a group end, and its
+/// next report does not list the group. The old count was kept, and other entries avoided the group
+/// as full.
 #[test]
-fn a_group_that_an_entry_no_longer_names_has_none_of_its_requests() {
+fn a_group_that_an_entry_no_longer_reports_has_none_of_its_requests() {
     let mut book = PulseBook::default();
     let [gone, reader] = ["gone", "reader"].map(NodeName::new);
     let pulse = GroupPulse { group: GROUP, quiet_ms: None, running: 28, suspect: false };
@@ -115,9 +116,10 @@
     assert_eq!(book.loads_beside(&reader, 0), [GroupLoad { group: GROUP, others: 0 }]);
 }
 
-/// Guards against an entry that comes back after it was forgotten and is counted as another one, or twice.
+/// Guards against an entry that returns after it was forgotten and is counted as another one, or
+/// twice.
 #[test]
-fn an_entry_that_comes_back_is_counted_once() {
+fn an_entry_that_returns_is_counted_once() {
     let mut book = PulseBook::default();
     let running = |running| GroupPulse { group: GROUP, quiet_ms: None, running, suspect: false };
     let [first, second, reader] = ["first", "second", "reader"].map(NodeName::new);
--- a/crates/fleet/tests/views.rs
+++ b/crates/fleet/tests/views.rs
@@ -1,4 +1,4 @@
-//! What entries are told: views, updates of them, and who is worth listening to.
+//! What entries receive: fleet views, updates of them, and which control host they listen to.
 
 use briartray_fleet::entry::{AnswerWait, TargetTable};
 use briartray_fleet::message::{
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Groups of a large fleet.
+/// Number of groups in a large fleet.
 const GROUPS: u64 = 375;
 
 fn version(number: u64) -> ViewVersion {
@@ -50,7 +50,8 @@
     }
 }
 
-/// `view` with some groups gone, closed, or new, as the next one.
+/// The next view after `view`, with some groups and endpoints removed, some groups changed, and one
+/// added.
 fn changed(view: &FleetView, random: &mut ChaCha8Rng) -> FleetView {
     let mut next = FleetView { version: version(view.version.number + 1), ..view.clone() };
     next.groups.retain(|_| random.random_range(0..20) > 0);
@@ -63,17 +64,17 @@
     next
 }
 
-/// A hundred entries before 375 groups are told each time that one of them opens or closes. Whole views
-/// filled the links of the leader: 50 KB to each of them, dozens of times a second.
+/// A hundred entries in front of 375 groups are sent each time that one group opens or closes.
+/// Whole views filled the links of the leader: 50 KB to each entry, dozens of times a second.
 #[test]
-fn one_changed_group_takes_little_room() {
+fn an_update_of_one_group_is_small() {
     let mut history = ViewHistory::default();
     history.push(view(1));
     let mut next = view(2);
     next.groups[7].open = false;
     history.push(next);
 
-    let update = history.update_for(Some(version(1)), false).expect("there is something to tell");
+    let update = history.update_for(Some(version(1)), false).expect("an update is due");
 
     let (one, all) = (encoded(&update), encoded(&history.newest().expect("pushed").whole()));
     assert!(one * 100 < all, "{one} of {all} bytes");
@@ -83,8 +84,8 @@
     codec::encode(update).expect("an update encodes").len()
 }
 
-/// Entries are told of changes at different moments: some have missed one, some five, some all. Whatever
-/// an entry held, it ends with the newest view.
+/// Entries receive changes at different times: some missed one, some five, some all. From any view
+/// that an entry held, the update must lead to the newest one.
 #[test]
 fn seeded_updates_bring_every_holder_to_the_newest_view() {
     for seed in 0..50 {
@@ -101,16 +102,17 @@
 
         for old in held {
             let update = history.update_for(Some(old.version), false);
-            let reached = update.map_or(Some(old.clone()), |update| old.updated(update));
+            let reached = update.map_or(Some(old.clone()), |update| old.with_update(update));
             assert_eq!(reached.as_ref(), Some(&newest), "seed {seed}, from {:?}", old.version);
         }
     }
 }
 
-/// An entry lost its stream in the middle of a change, and the next one tells of a view that it never had.
-/// Taken for its own it would name groups that have ended; it asks for the whole view instead.
+/// An entry lost its stream during a change, and the next update is for a view that it never had.
+/// Applied to its own view, the update would list groups that have ended; the entry must ask for
+/// the whole view.
 #[test]
-fn an_update_of_another_view_is_not_taken() {
+fn an_update_of_another_view_is_not_applied() {
     let mut table = TargetTable::new(ZoneName::new("zone-a"), 1);
     table.adopt(TimePoint(0), view(1));
     let mut history = ViewHistory::default();
@@ -121,44 +123,44 @@
 
     table.update(
         TimePoint(0),
-        history.update_for(Some(version(2)), false).expect("there is something to tell"),
+        history.update_for(Some(version(2)), false).expect("an update is due"),
     );
     let asks = table.version();
-    table
-        .update(TimePoint(0), history.update_for(None, false).expect("there is something to tell"));
+    table.update(TimePoint(0), history.update_for(None, false).expect("an update is due"));
 
     assert_eq!(asks, ViewVersion::default());
     assert_eq!(table.version(), version(3));
 }
 
-/// Guards against an entry that loses what it knows to a new leader which has heard of a part of the groups only: it
-/// is told nothing until that leader has heard of all, and then everything.
+/// Guards against an entry that loses its knowledge to a new leader that has heard from only a part
+/// of the groups. It must get no update until that leader has heard from all, and then a whole
+/// view.
 #[test]
-fn a_holder_of_a_settled_view_is_told_no_partial_one() {
+fn a_holder_of_a_complete_view_gets_no_partial_one() {
     let mut history = ViewHistory::default();
     let held = ViewVersion { term: TermNumber(0), number: 9 };
     history.push(FleetView { partial: true, ..view(1) });
     let early = history.update_for(Some(held), true);
     history.push(view(2));
 
-    let update = history.update_for(Some(held), true).expect("there is something to tell");
+    let update = history.update_for(Some(held), true).expect("an update is due");
 
     assert_eq!(early, None);
     assert_eq!(update.base, None);
 }
 
-/// Entries before the fleet, and groups of it.
+/// Numbers of entries and groups.
 const SIZES: [(usize, u64); 2] = [(129, 152), (258, 304)];
 
-/// Guards against a new leader that tells every entry the whole of each view while it hears of its endpoints: that
-/// grows with entries, groups and views, and its heartbeats wait behind it.
+/// Guards against a new leader that sends every entry a whole view each time it hears from more
+/// endpoints: that grows with entries, groups and views, and delays its heartbeats.
 #[test]
-fn a_new_leader_tells_each_entry_one_whole_view() {
+fn a_new_leader_sends_each_entry_one_whole_view() {
     for (entries, groups) in SIZES {
         let mut history = ViewHistory::default();
-        // After a stop of everything entries hold nothing.
+        // After a restart of the whole deployment, entries hold no view.
         let mut held: Vec<Option<ViewVersion>> = vec![None; entries];
-        let mut told = 0;
+        let mut sent = 0;
         for number in 1..=12 {
             let heard = groups * number / 12;
             let opened = |id| group(id, id <= heard);
@@ -168,21 +170,21 @@
             for entry in &mut held {
                 let update = history.update_for(*entry, false).expect("each view is new");
                 *entry = Some(update.version);
-                told += encoded(&update);
+                sent += encoded(&update);
             }
         }
 
         let whole = encoded(&history.newest().expect("pushed").whole());
-        // Each group changes once beside the whole view.
+        // Besides the whole view, each group changes once.
         assert!(
-            told <= entries * whole * 5 / 2,
-            "{told} bytes, {} for one whole each",
+            sent <= entries * whole * 5 / 2,
+            "{sent} bytes; one whole view for each entry is {}",
             entries * whole
         );
     }
 }
 
-/// A notice of a control host that does not lead and knows no leader, or of one that `leads`.
+/// A notice of a leader if `leads`, otherwise of a control host that knows no leader.
 fn notice(leads: bool, nonce: Option<u64>) -> EntryNotice {
     EntryNotice { nonce, leads, ..EntryNotice::default() }
 }
@@ -191,9 +193,9 @@
     TimePoint(millis * 1_000)
 }
 
-/// A control host is cut off from the others, and an entry that reports to it still reaches it. It answers
-/// each report that it knows no leader. The entry stayed there for seconds, under rules that had been
-/// replaced, while another host led; callers were handled by what was no longer in force.
+/// A control host is cut off from the others, but still reachable for an entry, and answers each
+/// report that it knows no leader. The entry stayed with it for seconds, under rules that had been
+/// replaced, although another host led.
 #[test]
 fn a_host_that_knows_no_leader_is_left() {
     let mut wait = AnswerWait::new(at(0));
@@ -206,10 +208,11 @@
     assert!(wait.is_over(at(720)));
 }
 
-/// A leader hands out a large declaration one entry after the other, and answers those that lack it without
-/// a lease meanwhile. They stay, since it leads; one that goes silent is left.
+/// A leader sends a large plan to one entry after the other, and meanwhile answers those that lack
+/// it without granting a lease. They must stay with it, since it leads, but leave it if it goes
+/// silent.
 #[test]
-fn a_leader_that_has_any_word_is_kept() {
+fn a_leader_that_sends_any_notice_is_kept() {
     let mut wait = AnswerWait::new(at(0));
 
     wait.asked(at(10));
@@ -222,10 +225,10 @@
     assert!(wait.is_over(at(2_700)));
 }
 
-/// All machines lose power and start again one after the other. A control host that has no power yet answers
-/// nothing at all; an entry that waited for it refused callers although a leader was up, which the next host
-/// could have named. The second time round the same host is waited for longer, as its answer may come from
-/// a far region.
+/// All machines lose power and restart one after the other. A control host without power does not
+/// answer at all. An entry that waited for it refused callers although a leader was up, which the
+/// next host could have named. In a later round the entry must wait longer for the same host, as
+/// its answer may come from a distant region.
 #[test]
 fn a_host_without_power_is_left_for_the_next_one() {
     let first = AnswerWait::searching(at(0), 0);
@@ -235,10 +238,11 @@
     assert!(!third.is_over(at(230)) && third.is_over(at(240)));
 }
 
-/// A host that was found in a search is up and knows no leader, since there is none yet. Left at once, it would
-/// be asked again only after all others; it names the leader as soon as one is elected.
+/// A host found in a search is up but knows no leader, since there is none yet. If the entry left
+/// it at once, it would return to it only after all others; the host names the leader as soon as
+/// one is elected.
 #[test]
-fn a_host_that_gives_a_word_is_waited_for() {
+fn a_host_that_sends_a_notice_is_waited_for() {
     let mut wait = AnswerWait::searching(at(0), 0);
 
     wait.asked(at(10));
