--- a/crates/cli/src/cmd/measure/planner.rs
+++ b/crates/cli/src/cmd/measure/planner.rs
@@ -112,7 +112,7 @@
     seed: u64,
 ) -> TableRow {
     let mut trace = generate_trace(shape, seed);
-    trace.set_weights(Some(downtime), Some(stranded));
+    trace.set_cost_weights(Some(downtime), Some(stranded));
     let started = Instant::now();
     let report = run_trace(&trace, kind, &mut || started.elapsed());
     TableRow { shape, weighting, report }
@@ -199,7 +199,7 @@
     let mut fleet = arrived(&trace);
     let view_kb = resident_kb() - before;
     let before = resident_kb();
-    let mut planner = GroupPlanner::with_loads_ahead();
+    let mut planner = GroupPlanner::with_preparation();
     form_all(&mut fleet, &mut planner);
     let planner_kb = resident_kb() - before;
     let mut quiet = Vec::new();
@@ -241,7 +241,7 @@
     let started = Instant::now();
     let round = planner.step(fleet.now(), fleet.view(), fleet.book());
     let spent = started.elapsed();
-    round.actions.iter().for_each(|action| fleet.act(action));
+    round.actions.iter().for_each(|action| fleet.execute(action));
     spent
 }
 
--- a/crates/cli/src/cmd/replay.rs
+++ b/crates/cli/src/cmd/replay.rs
@@ -6,8 +6,8 @@
 
 use briartray_placement::accounting::StrandedReason;
 use briartray_placement::replay::{
-    HostTrace, PlannerKind, ReplayReport, TraceError, TraceShape, generate_small, generate_trace,
-    run_trace, search_best,
+    HostTrace, PlannerKind, ReplayReport, TraceError, TraceShape, generate_small_trace,
+    generate_trace, run_trace, search_best_plan,
 };
 use gumdrop::Options;
 use serde_json::json;
@@ -60,7 +60,7 @@
         let file = File::create(path).map_err(|error| unusable(path, &error))?;
         return trace.write(BufWriter::new(file)).map_err(CommandError::unusable);
     }
-    trace.set_weights(options.downtime_weight, options.stranded_weight);
+    trace.set_cost_weights(options.downtime_weight, options.stranded_weight);
     let kinds = options.planner.map_or(PlannerKind::ALL.to_vec(), |kind| vec![kind]);
     let reports: Vec<ReplayReport> = kinds.into_iter().map(|kind| replay(&trace, kind)).collect();
     match options.output {
@@ -83,7 +83,7 @@
     let (mut best, mut planned, mut naive, mut worst) = (0.0, 0.0, 0.0, 1.0_f64);
     let mut complete = 0;
     for case in seed..seed + cases {
-        let result = search_best(&generate_small(case, hosts, events), actions);
+        let result = search_best_plan(&generate_small_trace(case, hosts, events), actions);
         best += result.best;
         planned += result.planned;
         naive += result.naive;
@@ -108,7 +108,7 @@
             HostTrace::read(BufReader::new(file))
                 .map_err(|error: TraceError| CommandError::unusable(format!("{path}: {error}")))
         }
-        (None, Some("small")) => Ok(generate_small(options.seed, SMALL_CASE.0, SMALL_CASE.1)),
+        (None, Some("small")) => Ok(generate_small_trace(options.seed, SMALL_CASE.0, SMALL_CASE.1)),
         (None, Some(shape)) => {
             let shape: TraceShape = shape.parse().map_err(CommandError::unusable)?;
             Ok(generate_trace(shape, options.seed))
--- a/crates/control/src/agreement/membership.rs
+++ b/crates/control/src/agreement/membership.rs
@@ -17,7 +17,7 @@
     ///
     /// The caller sees to it that only one host does this in the life of a deployment: two logs
     /// would both accept changes, and one of them would lose its own.
-    pub fn found_alone(&mut self, now: TimePoint) -> bool {
+    pub fn bootstrap(&mut self, now: TimePoint) -> bool {
         if !self.may_found() {
             return false;
         }
@@ -28,7 +28,7 @@
     }
 
     /// Whether the folder has taken part in anything.
-    pub fn has_past(&self) -> bool {
+    pub fn has_history(&self) -> bool {
         !self.may_found()
     }
 
@@ -53,7 +53,7 @@
     /// Proposes that a voter beyond the wanted number votes no longer, an absent one first.
     ///
     /// A host that was only away and comes back to find itself replaced takes part as any other.
-    pub fn trim_seats(&mut self) {
+    pub fn remove_surplus_voter(&mut self) {
         let MembershipMode::Dynamic { voters } = self.membership else { return };
         if self.seats.len() <= voters || !self.seats_settled() {
             return;
@@ -86,7 +86,7 @@
     }
 
     /// Notes whether `node` counts as gone, so that another host may be added in its stead.
-    pub fn mark_absent(&mut self, node: &NodeName, absent: bool) {
+    pub fn set_absent(&mut self, node: &NodeName, absent: bool) {
         let RoleState::Leading(lead) = &mut self.role else { return };
         if let Some(peer) = lead.peers.get_mut(node) {
             peer.absent = absent;
--- a/crates/control/src/lease/book.rs
+++ b/crates/control/src/lease/book.rs
@@ -89,7 +89,7 @@
     }
 
     /// Entries with what they adopted and whether they may decide at `now`.
-    pub fn standings(&self, now: TimePoint) -> Vec<(NodeName, RevisionNumber, bool)> {
+    pub fn entry_leases(&self, now: TimePoint) -> Vec<(NodeName, RevisionNumber, bool)> {
         self.entries
             .iter()
             .map(|(node, standing)| {
--- a/crates/control/src/lease/holder.rs
+++ b/crates/control/src/lease/holder.rs
@@ -21,13 +21,13 @@
 
 /// The lease of one entry.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RulesHolder {
+pub struct LeaseHolder {
     asked: Vec<(LeaseNonce, TimePoint)>,
     confirmed: Option<(TimePoint, LeaseTerms)>,
     last_nonce: LeaseNonce,
 }
 
-impl RulesHolder {
+impl LeaseHolder {
     /// A holder that nothing has been confirmed to; `first` must be random.
     ///
     /// A process that restarts and counts from one again would take a late grant to its
@@ -37,7 +37,7 @@
     }
 
     /// Starts a renewal at `now`; the nonce goes into the request.
-    pub fn ask(&mut self, now: TimePoint) -> LeaseNonce {
+    pub fn start_renewal(&mut self, now: TimePoint) -> LeaseNonce {
         self.last_nonce = LeaseNonce(self.last_nonce.0.wrapping_add(1));
         if self.asked.len() == MAX_ASKED {
             self.asked.remove(0);
@@ -55,7 +55,7 @@
     ///
     /// The lease counts from the moment of asking, by this process's own clock: however long the
     /// answer travelled or lay in a queue, it is never held longer than the leader reckons with.
-    pub fn granted(&mut self, nonce: LeaseNonce, terms: LeaseTerms) -> bool {
+    pub fn accept_grant(&mut self, nonce: LeaseNonce, terms: LeaseTerms) -> bool {
         let Some(position) = self.asked.iter().position(|(asked, _)| *asked == nonce) else {
             return false;
         };
@@ -67,9 +67,9 @@
     }
 
     /// Until when the entry may decide; `None` before the first grant.
-    pub fn window(&self) -> Option<RulesWindow> {
+    pub fn window(&self) -> Option<LeaseWindow> {
         let (sent, terms) = self.confirmed?;
-        Some(RulesWindow {
+        Some(LeaseWindow {
             confirmed_until: sent.after(terms.confirmed()),
             usable_until: terms.usable().map(|usable| sent.after(usable)),
         })
@@ -83,14 +83,14 @@
 
 /// Until when an entry may decide under the rules it has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RulesWindow {
+pub struct LeaseWindow {
     /// Until when they are confirmed.
     pub confirmed_until: TimePoint,
     /// Until when they may be used; `None` without a bound.
     pub usable_until: Option<TimePoint>,
 }
 
-impl RulesWindow {
+impl LeaseWindow {
     /// Whether the entry may decide at `now`.
     pub fn state(&self, now: TimePoint) -> HolderState {
         if now < self.confirmed_until {
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -9,4 +9,4 @@
 
 pub use book::LeaseBook;
 pub use briartray_model::lease::{HoldPolicy, LeaseTerms};
-pub use holder::{HolderState, RulesHolder, RulesWindow};
+pub use holder::{HolderState, LeaseHolder, LeaseWindow};
--- a/crates/control/src/state/groups.rs
+++ b/crates/control/src/state/groups.rs
@@ -52,14 +52,14 @@
     }
 
     /// What is known of `host`.
-    pub fn seat(&self, host: &HostName) -> HostSeat {
+    pub fn binding(&self, host: &HostName) -> HostSeat {
         self.seats.get(host).cloned().unwrap_or_default()
     }
 
     /// Forms a group unless one of its hosts is taken.
     pub fn form(&mut self, proposal: &GroupProposal) -> CommandOutcome {
         for member in &proposal.members {
-            if let Some(group) = self.seat(&member.host).group {
+            if let Some(group) = self.binding(&member.host).group {
                 return CommandOutcome::HostTaken { host: member.host.clone(), group };
             }
         }
@@ -94,7 +94,7 @@
             return CommandOutcome::GroupUnknown { group };
         }
         for member in &proposal.members {
-            match self.seat(&member.host).group {
+            match self.binding(&member.host).group {
                 Some(holder) if holder != group => {
                     return CommandOutcome::HostTaken { host: member.host.clone(), group: holder };
                 }
--- a/crates/control/src/storage/error.rs
+++ b/crates/control/src/storage/error.rs
@@ -86,7 +86,7 @@
 
 impl StorageError {
     /// Whether what the folder holds cannot be used. Otherwise it may open later as it is.
-    pub fn blames_contents(&self) -> bool {
+    pub fn is_unusable_contents(&self) -> bool {
         match self {
             Self::Damaged { .. } | Self::OtherNode { .. } | Self::OtherMembers { .. } => true,
             Self::Locked { .. }
--- a/crates/control/tests/agreement/cluster.rs
+++ b/crates/control/tests/agreement/cluster.rs
@@ -107,7 +107,7 @@
         let mut cluster = Self::with(size, seed, faults, MembershipMode::Dynamic { voters });
         let now = cluster.now;
         let core = cluster.hosts[0].core.as_mut().expect("every host was started");
-        assert!(core.found_alone(now), "an empty folder can found the log");
+        assert!(core.bootstrap(now), "an empty folder can found the log");
         cluster
     }
 
@@ -312,9 +312,9 @@
         core.set_peers(now, &names);
         if core.role() == MemberRole::Leader {
             for (name, absent) in names.iter().zip(absent) {
-                core.mark_absent(name, absent);
+                core.set_absent(name, absent);
             }
-            core.trim_seats();
+            core.remove_surplus_voter();
         }
     }
 
--- a/crates/control/tests/replace_group.rs
+++ b/crates/control/tests/replace_group.rs
@@ -30,7 +30,7 @@
 fn successor_keeps_members_under_new_number() {
     let mut state = ControlState::default();
     let old = form(&mut state, &["h1", "h2"]);
-    let before = state.groups.seat(&"h1".into()).fencing;
+    let before = state.groups.binding(&"h1".into()).fencing;
 
     let proposal = proposal(&["h1", "h3"]);
     let outcome = state.apply(&ControlCommand::ReplaceGroup { group: old, proposal });
@@ -40,9 +40,9 @@
         CommandOutcome::GroupFormed { group, fencing } => (group, fencing)
     );
     assert!(group > old && fencing > before);
-    assert_eq!(state.groups.seat(&"h1".into()).group, Some(group));
+    assert_eq!(state.groups.binding(&"h1".into()).group, Some(group));
     // The member that was dropped must refuse orders of its old group when it comes back.
-    let dropped = state.groups.seat(&"h2".into());
+    let dropped = state.groups.binding(&"h2".into());
     assert_eq!(dropped.group, None);
     assert!(dropped.fencing > before);
 }
--- a/crates/control/tests/rules_lease.rs
+++ b/crates/control/tests/rules_lease.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use briartray_control::lease::{HoldPolicy, HolderState, LeaseBook, LeaseTerms, RulesHolder};
+use briartray_control::lease::{HoldPolicy, HolderState, LeaseBook, LeaseHolder, LeaseTerms};
 use briartray_model::TimePoint;
 use briartray_model::names::{LeaseNonce, NodeName, RevisionNumber};
 use rand::{RngExt, SeedableRng};
@@ -26,7 +26,7 @@
 
 /// One entry: its lease, and the revision under which it decides.
 struct TestEntry {
-    holder: RulesHolder,
+    holder: LeaseHolder,
     adopted: RevisionNumber,
     cut_off_until: TimePoint,
 }
@@ -52,7 +52,7 @@
 fn started(random: &mut ChaCha8Rng) -> TestEntry {
     let first = LeaseNonce(random.random());
     TestEntry {
-        holder: RulesHolder::new(first),
+        holder: LeaseHolder::new(first),
         adopted: RevisionNumber(0),
         cut_off_until: TimePoint::default(),
     }
@@ -124,7 +124,7 @@
             self.entries[entry].cut_off_until = self.now.after(length);
         }
         if self.chance(6) {
-            let nonce = self.entries[entry].holder.ask(self.now);
+            let nonce = self.entries[entry].holder.start_renewal(self.now);
             let adopted = self.entries[entry].adopted;
             self.post(LeaseMessage::Ask { entry, nonce, adopted });
         }
@@ -153,7 +153,7 @@
                 }
                 LeaseMessage::Grant { entry, nonce, revision, terms } => {
                     let entry = &mut self.entries[entry];
-                    if entry.holder.granted(nonce, terms) {
+                    if entry.holder.accept_grant(nonce, terms) {
                         entry.adopted = entry.adopted.max(revision);
                     }
                 }
@@ -219,11 +219,11 @@
 fn late_grant_counts_from_the_moment_of_asking() {
     // A grant lies in a queue for longer than the lease. Counted from its arrival it would let the
     // entry decide long after the leader stopped reckoning with it.
-    let mut holder = RulesHolder::new(LeaseNonce(7));
-    let nonce = holder.ask(TimePoint(0));
+    let mut holder = LeaseHolder::new(LeaseNonce(7));
+    let nonce = holder.start_renewal(TimePoint(0));
     let arrival = TimePoint(20_000_000);
 
-    let taken = holder.granted(nonce, terms(HoldPolicy::BoundedMs(10_000)));
+    let taken = holder.accept_grant(nonce, terms(HoldPolicy::BoundedMs(10_000)));
 
     assert!(taken);
     assert_eq!(holder.state(arrival), HolderState::Lapsed);
@@ -233,11 +233,11 @@
 fn grant_to_an_earlier_request_is_timed_from_it() {
     // Two renewals are under way and only the older one is answered. Timed from the newer request
     // the lease would be held too long.
-    let mut holder = RulesHolder::new(LeaseNonce(7));
-    let old = holder.ask(TimePoint(0));
-    let _new = holder.ask(TimePoint(9_000_000));
+    let mut holder = LeaseHolder::new(LeaseNonce(7));
+    let old = holder.start_renewal(TimePoint(0));
+    let _new = holder.start_renewal(TimePoint(9_000_000));
 
-    let taken = holder.granted(old, terms(HoldPolicy::BoundedMs(10_000)));
+    let taken = holder.accept_grant(old, terms(HoldPolicy::BoundedMs(10_000)));
 
     assert!(taken);
     assert_eq!(holder.state(TimePoint(9_500_000)), HolderState::Holding);
@@ -248,12 +248,12 @@
 fn late_grant_to_a_predecessor_is_not_taken() {
     // An entry restarts while a grant to it is still under way. Taken by the new process, the old
     // grant would bring rules back that were replaced since.
-    let mut before = RulesHolder::new(LeaseNonce(3_141));
-    let late = before.ask(TimePoint(0));
-    let mut after = RulesHolder::new(LeaseNonce(2_718));
-    let _asked = after.ask(TimePoint(0));
+    let mut before = LeaseHolder::new(LeaseNonce(3_141));
+    let late = before.start_renewal(TimePoint(0));
+    let mut after = LeaseHolder::new(LeaseNonce(2_718));
+    let _asked = after.start_renewal(TimePoint(0));
 
-    let taken = after.granted(late, terms(HoldPolicy::BoundedMs(10_000)));
+    let taken = after.accept_grant(late, terms(HoldPolicy::BoundedMs(10_000)));
 
     assert!(!taken);
     assert_eq!(after.state(TimePoint(1)), HolderState::Lapsed);
--- a/crates/control/tests/storage.rs
+++ b/crates/control/tests/storage.rs
@@ -288,9 +288,9 @@
         source: io::Error::from(io::ErrorKind::StorageFull),
     };
 
-    assert!(!locked.expect_err("it is locked").blames_contents());
-    assert!(damaged.expect_err("it is damaged").blames_contents());
-    assert!(!full.blames_contents());
+    assert!(!locked.expect_err("it is locked").is_unusable_contents());
+    assert!(damaged.expect_err("it is damaged").is_unusable_contents());
+    assert!(!full.is_unusable_contents());
 }
 
 #[test]
--- a/crates/gateway/src/control/folder.rs
+++ b/crates/gateway/src/control/folder.rs
@@ -42,7 +42,7 @@
         let fresh = FolderId(rand::random());
         match DataFolder::open(path, node, &[], fresh, files()) {
             Ok(opened) => return FolderOpening::Opened(opened),
-            Err(error) if error.blames_contents() => {
+            Err(error) if error.is_unusable_contents() => {
                 log::error!("the data folder is begun anew: {error}");
                 clear_folder(path);
             }
--- a/crates/gateway/src/control/leadership.rs
+++ b/crates/gateway/src/control/leadership.rs
@@ -5,7 +5,7 @@
 use briartray_fleet::message::ViewHistory;
 use briartray_model::names::{NodeName, TermNumber};
 use briartray_model::{SortedTable, TimePoint};
-use briartray_quarantine::QuarantineDesk;
+use briartray_quarantine::QuarantineTracker;
 
 use super::entry_session::EntrySession;
 use super::pace::SendPace;
@@ -32,7 +32,7 @@
     /// The newest views, for updates of those that entries hold.
     pub(super) views: ViewHistory,
     /// Requests that crash endpoints.
-    pub(super) quarantine: QuarantineDesk,
+    pub(super) quarantine: QuarantineTracker,
     /// What endpoints with a limit get.
     pub(super) limits: LimitBoard,
     /// How fast declarations are handed out.
@@ -58,7 +58,7 @@
             step_due: false,
             entries: SortedTable::new(),
             views: ViewHistory::default(),
-            quarantine: QuarantineDesk::default(),
+            quarantine: QuarantineTracker::default(),
             limits: LimitBoard::new(now),
             pace: SendPace::default(),
             number: 0,
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -18,7 +18,7 @@
         for event in report.runs.iter().filter(|event| !leaves_by_plan(state, &event.end)) {
             leadership.quarantine.take(now, event, state.quarantine());
         }
-        leadership.dirty |= leadership.quarantine.is_due();
+        leadership.dirty |= leadership.quarantine.is_view_stale();
         for record in leadership.quarantine.take_fatal() {
             let (print, crashes) = (record.print, record.endpoints.len());
             log::warn!(print:%, rule = record.rule; "a request crashed {crashes} endpoints");
@@ -48,7 +48,7 @@
     /// Makes a new view of the quarantine when it has changed.
     pub(super) fn refresh_prints(&mut self) {
         let Some(leadership) = &mut self.leadership else { return };
-        if !leadership.quarantine.is_due() {
+        if !leadership.quarantine.is_view_stale() {
             return;
         }
         let view = leadership.quarantine.refresh(leadership.term, self.state.quarantine());
--- a/crates/gateway/src/control/voters.rs
+++ b/crates/gateway/src/control/voters.rs
@@ -70,7 +70,7 @@
         HostHello {
             node: own,
             has_disk: self.agreement.is_some(),
-            founded: self.agreement.as_ref().is_some_and(|agreement| agreement.has_past()),
+            founded: self.agreement.as_ref().is_some_and(|agreement| agreement.has_history()),
             leader,
             known: self
                 .hosts
@@ -88,7 +88,7 @@
         let founds = self.hosts.founds(now);
         let Some(agreement) = &mut self.agreement else { return };
         agreement.set_peers(now, &others);
-        if founds && !agreement.has_past() && agreement.found_alone(now) {
+        if founds && !agreement.has_history() && agreement.bootstrap(now) {
             log::info!("this host founds the control log");
         }
         if self.leadership.is_none() {
@@ -97,9 +97,9 @@
         let own = self.parts.settings.node_name();
         let seats: Vec<NodeName> = agreement.seats().iter().map(|seat| seat.node.clone()).collect();
         for node in seats.iter().filter(|node| **node != own) {
-            agreement.mark_absent(node, self.hosts.is_silent(now, node, ABSENT));
+            agreement.set_absent(node, self.hosts.is_silent(now, node, ABSENT));
         }
-        agreement.trim_seats();
+        agreement.remove_surplus_voter();
     }
 
     /// Whether enough hosts vote for a declaration to survive the stated losses.
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -236,7 +236,7 @@
         let now = self.now();
         self.unanswered.set(self.unanswered.get().saturating_add(1));
         let mut table = self.table.borrow_mut();
-        let runs = self.runs.borrow().told(now);
+        let runs = self.runs.borrow().events_to_report(now);
         let nonce = self.lease.borrow_mut().ask(now);
         let limits = table.limits().report(now, nonce);
         let report = EntryReport {
--- a/crates/node/src/agent/core.rs
+++ b/crates/node/src/agent/core.rs
@@ -10,7 +10,7 @@
     AgentReport, ControlDirective, GroupAssignment, MemberReply, MemberRequest,
 };
 use briartray_model::names::{FencingNumber, HostName};
-use briartray_placement::lease::{GroupGate, HostPromise, PromiseDecision};
+use briartray_placement::lease::{GroupGate, LeaseDecision, LeaseGranter};
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 
 use super::member;
@@ -72,7 +72,7 @@
     shared: Arc<AgentShared>,
     links: AgentLinks,
     inputs: Sender<AgentInput>,
-    promise: HostPromise,
+    granter: LeaseGranter,
     lead: Option<LeadRole>,
     /// Fencing number for which the endpoint has its model and role.
     endpoint_ready: Option<FencingNumber>,
@@ -86,12 +86,12 @@
         links: AgentLinks,
         inputs: Sender<AgentInput>,
     ) -> Self {
-        let promise = HostPromise::new(shared.clock.now());
+        let granter = LeaseGranter::new(shared.clock.now());
         Self {
             shared,
             links,
             inputs,
-            promise,
+            granter,
             lead: None,
             endpoint_ready: None,
             told_drained: false,
@@ -132,7 +132,7 @@
         match directive {
             ControlDirective::Assign(assignment) => self.assign(assignment),
             ControlDirective::Free { fencing } => {
-                if self.promise.free(fencing) {
+                if self.granter.unassign(fencing) {
                     self.links.orders.set(None);
                     self.drop_lead();
                 }
@@ -147,7 +147,7 @@
     }
 
     fn assign(&mut self, assignment: GroupAssignment) {
-        if !self.promise.assign(assignment.group, assignment.fencing) {
+        if !self.granter.assign(assignment.group, assignment.fencing) {
             log::warn!(group = assignment.group.0; "an old assignment was ignored");
             return;
         }
@@ -194,13 +194,13 @@
 
     fn answer_member(&mut self, request: &MemberRequest, writer: &LinkWriter) {
         let MemberRequest::Lease { group, fencing, nonce } = *request;
-        let reply = match self.promise.grant(self.shared.clock.now(), group, fencing) {
-            PromiseDecision::Granted(duration) => MemberReply::Granted {
+        let reply = match self.granter.grant(self.shared.clock.now(), group, fencing) {
+            LeaseDecision::Granted(duration) => MemberReply::Granted {
                 nonce,
                 duration_ms: u32::try_from(duration.as_millis()).unwrap_or(u32::MAX),
                 endpoint_ready: self.endpoint_ready == Some(fencing),
             },
-            PromiseDecision::Refused(fencing) => MemberReply::Refused { nonce, fencing },
+            LeaseDecision::Refused(fencing) => MemberReply::Refused { nonce, fencing },
         };
         let _ = writer.try_send(&reply);
     }
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -18,7 +18,7 @@
 use briartray_model::rules::RuleBook;
 use briartray_model::{SortedTable, TimePoint, codec};
 use briartray_placement::planner::FleetView;
-use briartray_quarantine::QuarantineDesk;
+use briartray_quarantine::QuarantineTracker;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 use serde_json::{Value, json};
 
@@ -86,7 +86,7 @@
     pub(super) snapshots: SnapshotLog,
     pub(super) version: SnapshotVersion,
     limits: LimitRegistry,
-    pub(super) quarantine: QuarantineDesk,
+    pub(super) quarantine: QuarantineTracker,
     pub(super) leadership: Option<Leadership>,
     pub(super) proposals: SortedTable<ProposalToken, ProposalOrigin>,
     pub(super) reads: SortedTable<ReadToken, ReadOrigin>,
@@ -108,7 +108,7 @@
             snapshots: SnapshotLog::default(),
             version: SnapshotVersion::default(),
             limits: LimitRegistry::default(),
-            quarantine: QuarantineDesk::default(),
+            quarantine: QuarantineTracker::default(),
             leadership: None,
             proposals: SortedTable::new(),
             reads: SortedTable::new(),
--- a/crates/node/src/control/fleet.rs
+++ b/crates/node/src/control/fleet.rs
@@ -154,20 +154,20 @@
     /// Tells every connected agent its membership, once for each fencing number.
     pub(super) fn direct(&mut self, registry: &GroupRegistry) {
         for (name, host) in self.hosts.iter_mut() {
-            let seat = registry.seat(name);
-            if host.told == Some(seat.fencing) {
+            let binding = registry.binding(name);
+            if host.told == Some(binding.fencing) {
                 continue;
             }
             let Some(writer) = host.session.and_then(|session| self.sessions.get(&session)) else {
                 continue;
             };
-            let directive = match seat.group.and_then(|group| registry.group(group)) {
+            let directive = match binding.group.and_then(|group| registry.group(group)) {
                 Some(group) => ControlDirective::Assign(group.assignment.clone()),
-                None => ControlDirective::Free { fencing: seat.fencing },
+                None => ControlDirective::Free { fencing: binding.fencing },
             };
             // A full queue is not waited for: the directive goes out on a later tick.
             if writer.try_send(&directive).unwrap_or(false) {
-                host.told = Some(seat.fencing);
+                host.told = Some(binding.fencing);
             }
         }
     }
@@ -256,11 +256,11 @@
     pub(super) fn prune(&mut self, now: TimePoint, registry: &GroupRegistry) {
         self.hosts.retain(|name, host| {
             host.session.is_some()
-                || registry.seat(name).group.is_some()
+                || registry.binding(name).group.is_some()
                 || now.since(host.since) < FORGET_AFTER
         });
         self.health.retain(|group, _| registry.group(*group).is_some());
-        self.drained.retain(|host, fencing| registry.seat(host).fencing == *fencing);
+        self.drained.retain(|host, fencing| registry.binding(host).fencing == *fencing);
     }
 
     /// The fleet as a planner sees it.
@@ -273,7 +273,7 @@
                     announcement: host.announcement.clone(),
                     present: host.session.is_some(),
                     since: host.since,
-                    group: registry.seat(name).group,
+                    group: registry.binding(name).group,
                 };
                 (name.clone(), view)
             })
--- a/crates/node/src/control/leases.rs
+++ b/crates/node/src/control/leases.rs
@@ -113,8 +113,9 @@
 
     /// Every registered entry, for operators.
     pub(super) fn show(&self, now: TimePoint) -> Value {
-        let standings = self.book.as_ref().map(|book| book.standings(now)).unwrap_or_default();
-        let rows = standings.into_iter().map(|(node, revision, decides)| {
+        let entry_leases =
+            self.book.as_ref().map(|book| book.entry_leases(now)).unwrap_or_default();
+        let rows = entry_leases.into_iter().map(|(node, revision, decides)| {
             json!({ "node": node, "revision": revision.0, "may_decide": decides })
         });
         rows.collect()
--- a/crates/node/src/control/limits.rs
+++ b/crates/node/src/control/limits.rs
@@ -6,7 +6,7 @@
 use briartray_model::names::TermNumber;
 use briartray_model::rules::{AdmitAction, RuleBook};
 use briartray_model::{SortedTable, TimePoint};
-use briartray_routing::admission::{HolderId, LimitBook, LimitKey, ShareAsk};
+use briartray_routing::admission::{HolderId, LimitBook, LimitKey, ShareRequest};
 
 use super::core::Leadership;
 
@@ -84,13 +84,13 @@
 ) -> Option<LimitGrant> {
     pair.running.set_limit(u64::from(action.concurrency));
     pair.rate.set_limit((action.rate * RATE_UNITS) as u64);
-    let running = ShareAsk {
+    let running = ShareRequest {
         nonce,
         demand: demand.running_demand,
         held: demand.running_held,
         used: demand.in_flight,
     };
-    let rate = ShareAsk { nonce, demand: demand.rate_demand, held: demand.rate_held, used: 0 };
+    let rate = ShareRequest { nonce, demand: demand.rate_demand, held: demand.rate_held, used: 0 };
     let running = pair.running.renew(now, holder, &running)?;
     let rate = pair.rate.renew(now, holder, &rate)?;
     Some(LimitGrant {
--- a/crates/node/src/control/replication.rs
+++ b/crates/node/src/control/replication.rs
@@ -6,7 +6,7 @@
 use briartray_control::state::{CommandOutcome, ControlCommand, ControlState};
 use briartray_model::codec;
 use briartray_model::names::RevisionNumber;
-use briartray_quarantine::QuarantineDesk;
+use briartray_quarantine::QuarantineTracker;
 
 use super::core::{ControlCore, Leadership};
 use super::fleet::FleetRoster;
@@ -72,7 +72,7 @@
         self.roster = FleetRoster::default();
         self.planner = PlanDriver::default();
         self.stops = StopDriver::default();
-        self.quarantine = QuarantineDesk::default();
+        self.quarantine = QuarantineTracker::default();
         self.leases.end();
         self.snapshots.clear();
         self.leadership = None;
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -136,7 +136,7 @@
                     self.answer.body.extend_from_slice(&data);
                 }
                 TrackerAction::Deliver(data) => {
-                    self.tracker.mark_shown();
+                    self.tracker.mark_delivered();
                     if output.event(&data).is_err() {
                         return (self.caller_gone(), None);
                     }
@@ -186,10 +186,10 @@
                 let quiet = matches!(reply, AgentReply::Progress { .. });
                 (self.tracker.on_reply(now, reply), quiet)
             }
-            Err(briartray_link::LinkError::TimedOut) => (self.tracker.on_silence(now), false),
+            Err(briartray_link::LinkError::TimedOut) => (self.tracker.on_timeout(now), false),
             Err(error) => {
                 log::debug!("attempt {} lost its stream: {error}", self.attempt);
-                (self.tracker.on_break(now, error.nothing_sent()), false)
+                (self.tracker.on_disconnect(now, error.nothing_sent()), false)
             }
         }
     }
--- a/crates/node/src/entry/call.rs
+++ b/crates/node/src/entry/call.rs
@@ -122,9 +122,9 @@
         let mut excluded: Vec<GroupId> = Vec::new();
         let mut history = AttemptHistory {
             attempts: 0,
-            bounces: 0,
+            full_refusals: 0,
             repeatable: self.plan.repeatable,
-            seen: false,
+            delivered: false,
         };
         loop {
             if let Err(end) = self.renew_decision() {
@@ -132,7 +132,7 @@
             }
             let record = match self.choose(&excluded) {
                 ChoiceOutcome::Chosen(record) => record,
-                ChoiceOutcome::Absent if history.bounces == 0 => {
+                ChoiceOutcome::Absent if history.full_refusals == 0 => {
                     return self.end(permit, output, no_replica(NOT_RUN_WAIT));
                 }
                 ChoiceOutcome::Down(wait) => return self.end(permit, output, no_replica(wait)),
@@ -160,9 +160,9 @@
             let Some(back) = back else { return };
             output = back;
             excluded.push(record.group);
-            history.seen = !output.is_unseen();
-            if effect == AttemptEffect::Bounced {
-                history.bounces += 1;
+            history.delivered = !output.is_unseen();
+            if effect == AttemptEffect::ReplicaFull {
+                history.full_refusals += 1;
             } else {
                 history.attempts += 1;
             }
@@ -222,7 +222,7 @@
         history: &mut AttemptHistory,
     ) -> Result<SlotPermit<'a>, AdmissionRefusal> {
         excluded.clear();
-        history.bounces = 0;
+        history.full_refusals = 0;
         permit.requeue(&self.request)
     }
 
@@ -249,7 +249,7 @@
             AttemptEnd::Refused(reason, load) => {
                 log::debug!(group = record.group.0; "attempt refused: {reason:?}");
                 let (effect, end) = describe_refusal(reason, load.as_ref());
-                let name = if effect == AttemptEffect::Bounced { "bounced" } else { "not_run" };
+                let name = if effect == AttemptEffect::ReplicaFull { "bounced" } else { "not_run" };
                 (name, AttemptResult::Refused(reason), load, Some((effect, end)))
             }
             AttemptEnd::Failed { refusal, crashed } => {
@@ -336,7 +336,7 @@
         }
         // The agent answered, so the way there and back is all that the attempt cost.
         _ if load.is_some() && reason != RefusalReason::EndpointUnreachable => {
-            (AttemptEffect::Bounced, no_replica(NOT_RUN_WAIT))
+            (AttemptEffect::ReplicaFull, no_replica(NOT_RUN_WAIT))
         }
         _ => (AttemptEffect::NotRun, no_replica(NOT_RUN_WAIT)),
     }
--- a/crates/node/src/entry/crashes.rs
+++ b/crates/node/src/entry/crashes.rs
@@ -81,9 +81,9 @@
     }
 
     /// What the next renewal tells, and the view that is held.
-    pub(super) fn told(&self, now: TimePoint) -> (Vec<RunEvent>, ViewVersion) {
+    pub(super) fn events_to_report(&self, now: TimePoint) -> (Vec<RunEvent>, ViewVersion) {
         let state = self.state();
-        (state.runs.told(now), state.guard.version())
+        (state.runs.events_to_report(now), state.guard.version())
     }
 
     /// A confirmed leader has answered the renewal with `nonce`.
--- a/crates/node/src/entry/gate.rs
+++ b/crates/node/src/entry/gate.rs
@@ -90,7 +90,7 @@
 
     /// What this entry could use of each limit, for the next renewal.
     pub(super) fn demands(&self) -> Vec<LimitDemand> {
-        let uses = self.lock().queue.limit_uses(self.clock.now());
+        let uses = self.lock().queue.limit_usage(self.clock.now());
         uses.into_iter()
             .map(|used| LimitDemand {
                 rule: used.key.rule,
@@ -132,7 +132,7 @@
             let now = self.clock.now();
             if let Some(key) = request.limit {
                 let (counted, rated) = (request.action.concurrency > 0, request.action.rate > 0.0);
-                state.queue.expect_limit(now, key, counted, rated);
+                state.queue.register_limit(now, key, counted, rated);
             }
             let offered = state.queue.offer(now, request);
             let waiting = offered.map(|ticket| (ticket, state.wait_for(ticket)));
--- a/crates/node/src/entry/shared.rs
+++ b/crates/node/src/entry/shared.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use arc_swap::ArcSwap;
-use briartray_control::lease::{HolderState, RulesWindow};
+use briartray_control::lease::{HolderState, LeaseWindow};
 use briartray_link::LinkClient;
 use briartray_model::SortedTable;
 use briartray_model::message::RoutingSnapshot;
@@ -32,7 +32,7 @@
     pub(super) snapshot: Arc<RoutingSnapshot>,
     pub(super) book: Arc<RuleBook>,
     /// Until when the rules may be used; `None` before the first confirmation.
-    pub(super) window: Option<RulesWindow>,
+    pub(super) window: Option<LeaseWindow>,
 }
 
 /// State shared between the threads of one entry.
--- a/crates/node/src/entry/watch.rs
+++ b/crates/node/src/entry/watch.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use briartray_control::lease::RulesHolder;
+use briartray_control::lease::LeaseHolder;
 use briartray_link::{CallKind, LinkError, LinkReader, LinkWriter};
 use briartray_model::message::{SnapshotUpdate, WatchReply, WatchRequest};
 use briartray_model::names::LeaseNonce;
@@ -27,7 +27,7 @@
 ) -> std::io::Result<Receiver<()>> {
     let (ended, end) = bounded(1);
     let run = move || {
-        let mut holder = RulesHolder::new(LeaseNonce(u64::from(rand::random::<u32>())));
+        let mut holder = LeaseHolder::new(LeaseNonce(u64::from(rand::random::<u32>())));
         for peer in peers.iter().cycle() {
             if shared.is_finished() {
                 break;
@@ -49,16 +49,16 @@
 fn renew_all(
     shared: &EntryShared,
     stream: &(LinkWriter, LinkReader),
-    holder: &mut RulesHolder,
+    holder: &mut LeaseHolder,
 ) -> Result<(), LinkError> {
     let (writer, reader) = stream;
     shared.crashes.begin_leader(holder.last_nonce().0);
     while !shared.is_finished() {
         let sent = shared.clock.now();
-        let nonce = holder.ask(sent);
+        let nonce = holder.start_renewal(sent);
         writer.send(&renewal(shared, nonce, false))?;
         let reply: WatchReply = reader.receive(ANSWER_WAIT)?;
-        if !holder.granted(reply.nonce, reply.terms) {
+        if !holder.accept_grant(reply.nonce, reply.terms) {
             continue;
         }
         shared.crashes.answered(reply.nonce.0, reply.prints.clone());
@@ -66,13 +66,13 @@
         adopt(shared, &reply, holder);
         shared.crashes.wait(RENEW_INTERVAL);
     }
-    let nonce = holder.ask(shared.clock.now());
+    let nonce = holder.start_renewal(shared.clock.now());
     writer.send(&renewal(shared, nonce, true))
 }
 
 fn renewal(shared: &EntryShared, nonce: LeaseNonce, leaving: bool) -> WatchRequest {
     let view = shared.view();
-    let (runs, prints) = shared.crashes.told(shared.clock.now());
+    let (runs, prints) = shared.crashes.events_to_report(shared.clock.now());
     WatchRequest {
         node: shared.node.clone(),
         nonce,
@@ -86,7 +86,7 @@
     }
 }
 
-fn adopt(shared: &EntryShared, reply: &WatchReply, holder: &RulesHolder) {
+fn adopt(shared: &EntryShared, reply: &WatchReply, holder: &LeaseHolder) {
     let before = shared.view();
     let window = holder.window();
     let newer = match &reply.snapshot {
--- a/crates/placement/src/lease/mod.rs
+++ b/crates/placement/src/lease/mod.rs
@@ -8,7 +8,7 @@
 mod promise;
 
 pub use gate::GroupGate;
-pub use promise::{HostPromise, PromiseDecision};
+pub use promise::{LeaseDecision, LeaseGranter};
 
 use std::time::Duration;
 
--- a/crates/placement/src/planner/group_planner.rs
+++ b/crates/placement/src/planner/group_planner.rs
@@ -132,7 +132,7 @@
 
 impl GroupPlanner {
     /// A planner for hosts that load weights ahead when they are asked to.
-    pub fn with_loads_ahead() -> Self {
+    pub fn with_preparation() -> Self {
         Self { loads_ahead: true, ..Self::default() }
     }
 
--- a/crates/placement/src/replay/fleet.rs
+++ b/crates/placement/src/replay/fleet.rs
@@ -174,7 +174,7 @@
     }
 
     /// Carries out what a planner asks for.
-    pub fn act(&mut self, action: &PlanAction) {
+    pub fn execute(&mut self, action: &PlanAction) {
         self.stale = true;
         if let PlanAction::Prepare { host, rank, size, .. } = action {
             self.prepare(host, (*rank as usize, *size as usize));
@@ -253,7 +253,7 @@
             incarnation: 1,
             leaving: false,
         };
-        let group = self.state.groups.seat(host).group;
+        let group = self.state.groups.binding(host).group;
         let view = HostView { announcement, present: true, since: self.now, group };
         self.engines.forget(host);
         self.view.hosts.insert(host.clone(), view);
@@ -359,11 +359,11 @@
         self.view.groups.remove(&old.group);
         self.opening.remove(&old.group);
         for name in &old.members {
-            let seat = self.state.groups.seat(name).group;
+            let binding = self.state.groups.binding(name).group;
             if let Some(host) = self.view.hosts.get_mut(name) {
-                host.group = seat;
+                host.group = binding;
             }
-            if seat.is_none() {
+            if binding.is_none() {
                 self.engines.cancel(name);
             }
         }
--- a/crates/placement/src/replay/generate/mod.rs
+++ b/crates/placement/src/replay/generate/mod.rs
@@ -7,7 +7,7 @@
 mod small;
 
 pub use shape::TraceShape;
-pub use small::generate_small;
+pub use small::generate_small_trace;
 
 use briartray_model::names::{DomainName, HostName};
 use rand::{RngExt, SeedableRng};
--- a/crates/placement/src/replay/generate/small.rs
+++ b/crates/placement/src/replay/generate/small.rs
@@ -15,7 +15,7 @@
 const END_MS: u64 = 1_800_000;
 
 /// Makes a trace of four to `hosts` hosts in pairs and `events` losses or planned stops.
-pub fn generate_small(seed: u64, hosts: usize, events: usize) -> HostTrace {
+pub fn generate_small_trace(seed: u64, hosts: usize, events: usize) -> HostTrace {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let hosts = random.random_range(4..=hosts.max(4));
     let mut lines: Vec<TraceLine> = (0..hosts).map(arrive).collect();
--- a/crates/placement/src/replay/mod.rs
+++ b/crates/placement/src/replay/mod.rs
@@ -9,8 +9,8 @@
 mod trace;
 
 pub use fleet::ReplayFleet;
-pub use generate::{TraceShape, generate_small, generate_trace};
+pub use generate::{TraceShape, generate_small_trace, generate_trace};
 pub use registry::NaiveRegistry;
 pub use run::{PlannerKind, ReplayReport, StatedOutcome, run_trace};
-pub use search::{SearchResult, search_best};
+pub use search::{SearchResult, search_best_plan};
 pub use trace::{HostTrace, TraceError, TraceEvent, TraceHeader, TraceLine, WeightState};
--- a/crates/placement/src/replay/run.rs
+++ b/crates/placement/src/replay/run.rs
@@ -147,7 +147,7 @@
         meter: &'a mut dyn FnMut() -> Duration,
     ) -> Self {
         let planner = match kind {
-            PlannerKind::Cost => GroupPlanner::with_loads_ahead(),
+            PlannerKind::Cost => GroupPlanner::with_preparation(),
             PlannerKind::Naive | PlannerKind::Unprepared => GroupPlanner::default(),
         };
         Self {
@@ -216,7 +216,7 @@
         self.planning += spent;
         self.longest = self.longest.max(spent);
         for action in &actions {
-            self.fleet.act(action);
+            self.fleet.execute(action);
         }
         if !actions.is_empty() {
             self.plan_soon();
--- a/crates/placement/src/replay/search.rs
+++ b/crates/placement/src/replay/search.rs
@@ -39,7 +39,7 @@
 }
 
 /// Tries every sequence of at most `actions` actions.
-pub fn search_best(trace: &HostTrace, actions: u32) -> SearchResult {
+pub fn search_best_plan(trace: &HostTrace, actions: u32) -> SearchResult {
     let mut meter = || std::time::Duration::ZERO;
     let planned = super::run_trace(trace, PlannerKind::Cost, &mut meter).weighted;
     let naive = super::run_trace(trace, PlannerKind::Naive, &mut meter).weighted;
@@ -69,7 +69,7 @@
         if actions > 0 {
             for action in possible_actions(fleet.view()) {
                 let mut tried = fleet.clone();
-                tried.act(&action);
+                tried.execute(&action);
                 self.path.push((fleet.now(), action));
                 self.explore(&tried, next, actions - 1);
                 self.path.pop();
--- a/crates/placement/src/replay/trace.rs
+++ b/crates/placement/src/replay/trace.rs
@@ -216,7 +216,7 @@
     }
 
     /// Replaces the weights in every place rule; a document without one gets a rule for all.
-    pub fn set_weights(&mut self, downtime: Option<f64>, stranded: Option<f64>) {
+    pub fn set_cost_weights(&mut self, downtime: Option<f64>, stranded: Option<f64>) {
         let events = self.lines.iter_mut().filter_map(|line| match &mut line.event {
             TraceEvent::Rules { rules } => Some(rules),
             _ => None,
--- a/crates/placement/tests/random_events.rs
+++ b/crates/placement/tests/random_events.rs
@@ -9,8 +9,8 @@
 };
 use briartray_placement::planner::{FleetView, GroupPlanner, PlanAction};
 use briartray_placement::replay::{
-    PlannerKind, ReplayFleet, TraceEvent, TraceHeader, TraceShape, WeightState, generate_small,
-    generate_trace, run_trace, search_best,
+    PlannerKind, ReplayFleet, TraceEvent, TraceHeader, TraceShape, WeightState,
+    generate_small_trace, generate_trace, run_trace, search_best_plan,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -81,7 +81,7 @@
 }
 
 fn planner_for(seed: u64) -> GroupPlanner {
-    if seed.is_multiple_of(4) { GroupPlanner::default() } else { GroupPlanner::with_loads_ahead() }
+    if seed.is_multiple_of(4) { GroupPlanner::default() } else { GroupPlanner::with_preparation() }
 }
 
 /// Groups of the wrong size or of hosts of two providers.
@@ -106,7 +106,7 @@
         fleet.advance(end);
         let round = planner.step(fleet.now(), fleet.view(), fleet.book());
         for action in &round.actions {
-            fleet.act(action);
+            fleet.execute(action);
         }
         taken.extend(round.actions);
     }
@@ -182,7 +182,7 @@
     // and the search, which starts from the planner's cost, must not end above it.
     let (mut best, mut planned) = (0.0, 0.0);
     for seed in 1..6 {
-        let result = search_best(&generate_small(seed, 6, 3), 2);
+        let result = search_best_plan(&generate_small_trace(seed, 6, 3), 2);
 
         assert!(result.exhausted);
         best += result.best;
--- a/crates/quarantine/src/evidence_log.rs
+++ b/crates/quarantine/src/evidence_log.rs
@@ -51,7 +51,7 @@
     }
 
     /// What the next report tells: everything until a new leader has it, then what is recent.
-    pub fn told(&self, now: TimePoint) -> Vec<RunEvent> {
+    pub fn events_to_report(&self, now: TimePoint) -> Vec<RunEvent> {
         let all = self.since_nonce.is_some();
         let due = |run: &&KeptRun| {
             let age = now.since(run.ended);
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -21,7 +21,7 @@
 pub use evidence_log::EvidenceLog;
 pub use print_guard::{PrintGuard, PrintStanding};
 pub use print_key::{PrintKey, PrintParts};
-pub use quarantine_desk::QuarantineDesk;
+pub use quarantine_desk::QuarantineTracker;
 pub use quarantine_list::{QuarantineList, QuarantineRecord, ShownRecord};
 
 /// Crashes in a row after which a request is quarantined.
--- a/crates/quarantine/src/quarantine_desk.rs
+++ b/crates/quarantine/src/quarantine_desk.rs
@@ -14,7 +14,7 @@
 
 /// The crashes that a leader knows of, and what entries are told.
 #[derive(Debug, Clone)]
-pub struct QuarantineDesk {
+pub struct QuarantineTracker {
     crashes: CrashBook,
     view: PrintView,
     /// The view may have changed.
@@ -23,7 +23,7 @@
     since: SortedTable<RequestPrint, TimePoint>,
 }
 
-impl Default for QuarantineDesk {
+impl Default for QuarantineTracker {
     fn default() -> Self {
         Self {
             crashes: CrashBook::default(),
@@ -34,7 +34,7 @@
     }
 }
 
-impl QuarantineDesk {
+impl QuarantineTracker {
     /// Takes a run that an entry reports.
     pub fn take(&mut self, now: TimePoint, event: &RunEvent, list: &QuarantineList) {
         if !list.holds(event.print) {
@@ -81,7 +81,7 @@
     }
 
     /// Whether entries may have to be told of another view.
-    pub fn is_due(&self) -> bool {
+    pub fn is_view_stale(&self) -> bool {
         self.due
     }
 
--- a/crates/quarantine/tests/decisions.rs
+++ b/crates/quarantine/tests/decisions.rs
@@ -7,7 +7,7 @@
 use briartray_model::{TimePoint, codec};
 use briartray_quarantine::{
     CrashBook, EvidenceLog, FATAL_CRASHES, PrintGuard, PrintKey, PrintParts, PrintStanding,
-    QuarantineDesk, QuarantineList, QuarantineRecord,
+    QuarantineList, QuarantineRecord, QuarantineTracker,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -134,24 +134,24 @@
         log.note(at(millis), FATAL, crashed(&format!("i-{number}")));
     }
     let now = at(20_000);
-    assert!(log.told(now).is_empty(), "old runs are told to a new leader only");
+    assert!(log.events_to_report(now).is_empty(), "old runs are told to a new leader only");
 
     log.begin_leader(40);
-    let told = log.told(now);
+    let events_to_report = log.events_to_report(now);
     let mut book = CrashBook::default();
-    for event in &told {
+    for event in &events_to_report {
         book.take(TimePoint(0), event);
     }
 
     assert_eq!(fatal_prints(&mut book), [FATAL]);
     log.confirmed(40);
     assert_eq!(
-        log.told(now).len(),
+        log.events_to_report(now).len(),
         FATAL_CRASHES,
         "a report from before says nothing of the new leader"
     );
     log.confirmed(41);
-    assert!(log.told(now).is_empty());
+    assert!(log.events_to_report(now).is_empty());
 }
 
 /// Guards against a lifted quarantine that comes back with the next leader.
@@ -172,7 +172,7 @@
 
     assert_eq!(guard.standing(FATAL), PrintStanding::Clear);
     assert!(!guard.is_watching());
-    assert_eq!(log.told(at(0)).len(), 1);
+    assert_eq!(log.events_to_report(at(0)).len(), 1);
 }
 
 /// Guards against memory that grows with every request which was at a crash.
@@ -190,8 +190,9 @@
     book.take(at(30_000), &event(FATAL, crashed("i-9")));
 
     assert!(book.len() <= 2_048, "{} requests are kept", book.len());
-    let told = codec::encode(&log.told(at(22_000))).expect("events encode").len();
-    assert!(told <= 10_000, "{told} bytes in one report");
+    let events_to_report =
+        codec::encode(&log.events_to_report(at(22_000))).expect("events encode").len();
+    assert!(events_to_report <= 10_000, "{events_to_report} bytes in one report");
     assert_eq!(fatal_prints(&mut book), [FATAL]);
 }
 
@@ -230,7 +231,7 @@
 fn a_request_is_let_out_after_an_hour() {
     let mut list = QuarantineList::default();
     list.add(&record(7));
-    let mut desk = QuarantineDesk::default();
+    let mut desk = QuarantineTracker::default();
 
     let first = desk.keep(at(0), &list);
     let before = desk.keep(at(3_599_000), &list);
@@ -244,8 +245,8 @@
 #[test]
 fn crashes_from_before_a_lift_do_not_count() {
     let mut list = QuarantineList::default();
-    let mut desk = QuarantineDesk::default();
-    let old = |desk: &mut QuarantineDesk, list: &QuarantineList, now: u64| {
+    let mut desk = QuarantineTracker::default();
+    let old = |desk: &mut QuarantineTracker, list: &QuarantineList, now: u64| {
         for number in 0..4_u64 {
             let late = event(FATAL, crashed(&format!("i-{number}")));
             let age_ms = now - number * 500;
@@ -267,7 +268,7 @@
 #[test]
 fn a_leader_tells_a_view_of_its_own_term() {
     let mut list = QuarantineList::default();
-    let mut desk = QuarantineDesk::default();
+    let mut desk = QuarantineTracker::default();
 
     let empty = desk.refresh(TermNumber(3), &list).clone();
     list.add(&record(7));
@@ -279,7 +280,7 @@
     assert_eq!(held.quarantined, [FATAL]);
     assert_eq!(desk.refresh(TermNumber(3), &list), &held, "nothing has changed");
     desk.take(at(0), &event(FATAL, crashed("i-1")), &list);
-    assert!(!desk.is_due(), "what is in quarantine is not counted again");
+    assert!(!desk.is_view_stale(), "what is in quarantine is not counted again");
 }
 
 /// Guards against requests that are mixed up: each part counts, and only under the same secret.
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -15,7 +15,7 @@
 
 pub use limit::{LimitKey, LimitUse, TeamLimit};
 pub use queue::AdmissionQueue;
-pub use share::{HolderId, LimitBook, ShareAsk};
+pub use share::{HolderId, LimitBook, ShareRequest};
 pub use verdict::{
     AdmissionOutput, AdmissionRefusal, AdmissionRequest, AdmissionVerdict, RefusalCause,
     TicketNumber,
--- a/crates/routing/src/admission/queue.rs
+++ b/crates/routing/src/admission/queue.rs
@@ -86,7 +86,7 @@
     }
 
     /// Notes a limit under which a request comes; it holds nothing until a share is granted.
-    pub fn expect_limit(&mut self, now: TimePoint, key: &LimitKey, counted: bool, rated: bool) {
+    pub fn register_limit(&mut self, now: TimePoint, key: &LimitKey, counted: bool, rated: bool) {
         let none = || TeamLimit::new(now, counted.then_some(0), rated.then_some(0.0));
         self.limits.get_or_insert_with(key.clone(), none).arrive(now);
     }
@@ -106,7 +106,7 @@
     }
 
     /// What this entry could use of each limit and what it holds.
-    pub fn limit_uses(&mut self, now: TimePoint) -> Vec<LimitUse> {
+    pub fn limit_usage(&mut self, now: TimePoint) -> Vec<LimitUse> {
         let services = &self.services;
         let waiting = |key: &LimitKey| -> u32 {
             let queues = services.values().filter_map(|service| service.teams.get(&key.team));
--- a/crates/routing/src/admission/share.rs
+++ b/crates/routing/src/admission/share.rs
@@ -25,7 +25,7 @@
 
 /// What an entry says about one limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShareAsk {
+pub struct ShareRequest {
     /// Number of the renewal; grows with each.
     pub nonce: u64,
     /// What it could use now.
@@ -87,7 +87,7 @@
     /// which earlier answers were taken: none that is on its way still counts. An entry that told of
     /// a share takes the answer only while it still holds that share: an earlier leader may have
     /// given it to another since, and this leader would not know.
-    pub fn renew(&mut self, now: TimePoint, holder: HolderId, ask: &ShareAsk) -> Option<u64> {
+    pub fn renew(&mut self, now: TimePoint, holder: HolderId, ask: &ShareRequest) -> Option<u64> {
         if self.holders.get(&holder).is_some_and(|known| ask.nonce <= known.nonce) {
             return None;
         }
--- a/crates/routing/src/attempt/tracker.rs
+++ b/crates/routing/src/attempt/tracker.rs
@@ -128,7 +128,7 @@
     }
 
     /// Notes that the caller has seen a part of the answer.
-    pub fn mark_shown(&mut self) {
+    pub fn mark_delivered(&mut self) {
         self.shown = true;
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Takes the end of the stream before the end of the answer.
-    pub fn on_break(&mut self, now: TimePoint, nothing_sent: bool) -> TrackerAction {
+    pub fn on_disconnect(&mut self, now: TimePoint, nothing_sent: bool) -> TrackerAction {
         if self.phase == TrackerPhase::Dispatched && nothing_sent {
             return TrackerAction::Refused(RefusalReason::EndpointUnreachable, None);
         }
@@ -177,7 +177,7 @@
     }
 
     /// Takes the passing of [`AttemptTracker::wait`] without a frame.
-    pub fn on_silence(&mut self, now: TimePoint) -> TrackerAction {
+    pub fn on_timeout(&mut self, now: TimePoint) -> TrackerAction {
         if now >= self.plan.deadline {
             return TrackerAction::Late;
         }
--- a/crates/routing/src/retry/policy.rs
+++ b/crates/routing/src/retry/policy.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEffect {
     /// It was not run and never will be, because the replica had no room.
-    Bounced,
+    ReplicaFull,
     /// It was not run and never will be.
     NotRun,
     /// It may have run.
@@ -31,11 +31,11 @@
     /// Attempts made, bounces not counted.
     pub attempts: u32,
     /// Bounces off full replicas.
-    pub bounces: u32,
+    pub full_refusals: u32,
     /// Whether running it twice does no harm.
     pub repeatable: bool,
     /// Whether the caller has seen any part of an answer.
-    pub seen: bool,
+    pub delivered: bool,
 }
 
 /// Why there is no further attempt.
@@ -80,15 +80,15 @@
     budget: &mut RetryBudget,
     random: &mut R,
 ) -> RetryDecision {
-    if effect == AttemptEffect::Unknown && (history.seen || !history.repeatable) {
+    if effect == AttemptEffect::Unknown && (history.delivered || !history.repeatable) {
         return RetryDecision::Stop(StopReason::Unsafe);
     }
     let left = deadline.since(now);
     if left < MIN_LEFT {
         return RetryDecision::Stop(StopReason::Deadline);
     }
-    if effect == AttemptEffect::Bounced {
-        let again = history.bounces < MAX_BOUNCES;
+    if effect == AttemptEffect::ReplicaFull {
+        let again = history.full_refusals < MAX_BOUNCES;
         return if again { RetryDecision::Retry(Duration::ZERO) } else { RetryDecision::Requeue };
     }
     if history.attempts >= action.attempts.max(1) {
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -101,7 +101,7 @@
     // The agent died after it handed the call to the service, and its successor knows of nothing.
     // A caller told `not_run` would book the lot a second time.
     let mut tracker = tracker(false);
-    tracker.on_break(seconds(1), false);
+    tracker.on_disconnect(seconds(1), false);
     tracker.on_reply(seconds(2), AgentReply::NotHeld { attempt: ATTEMPT });
 
     let action = tracker.on_reply(seconds(3), tombstone(TombstoneState::NeverRuns, 2));
@@ -117,7 +117,7 @@
     tracker.on_reply(seconds(0), chunk(0));
     let until = TimePoint::default().after(SILENCE_BOUND);
 
-    let action = tracker.on_silence(until);
+    let action = tracker.on_timeout(until);
 
     assert_matches!(
         action,
@@ -266,7 +266,7 @@
             let action = self.step(tracker);
             match action {
                 TrackerAction::Deliver(data) => {
-                    tracker.mark_shown();
+                    tracker.mark_delivered();
                     seen.extend(data);
                 }
                 TrackerAction::Reconnect { request, .. } => self.ask(&request),
@@ -281,7 +281,7 @@
         if self.chance(5) {
             self.reader = None;
             self.held_reply = None;
-            return tracker.on_break(self.now, false);
+            return tracker.on_disconnect(self.now, false);
         }
         let Some(reply) = self.receive() else { return TrackerAction::Wait };
         if self.chance(5) {
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -14,7 +14,7 @@
 const DEADLINE: TimePoint = TimePoint(10_000_000);
 
 fn history(attempts: u32) -> AttemptHistory {
-    AttemptHistory { attempts, bounces: 0, repeatable: true, seen: false }
+    AttemptHistory { attempts, full_refusals: 0, repeatable: true, delivered: false }
 }
 
 fn decide(effect: AttemptEffect, history: &AttemptHistory, now: TimePoint) -> RetryDecision {
@@ -31,7 +31,7 @@
     let mut booked = history(1);
     booked.repeatable = false;
     let mut read = history(1);
-    read.seen = true;
+    read.delivered = true;
 
     let decisions =
         [&booked, &read].map(|history| decide(AttemptEffect::Unknown, history, TimePoint(0)));
@@ -70,9 +70,9 @@
     let mut full = history(0);
 
     let decisions: Vec<RetryDecision> = (1..=3)
-        .map(|bounces| {
-            full.bounces = bounces;
-            decide(AttemptEffect::Bounced, &full, TimePoint(0))
+        .map(|full_refusals| {
+            full.full_refusals = full_refusals;
+            decide(AttemptEffect::ReplicaFull, &full, TimePoint(0))
         })
         .collect();
 
--- a/crates/routing/tests/shares.rs
+++ b/crates/routing/tests/shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briartray_model::TimePoint;
-use briartray_routing::admission::{HolderId, LimitBook, ShareAsk};
+use briartray_routing::admission::{HolderId, LimitBook, ShareRequest};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -35,12 +35,12 @@
         !self.silent && (!self.waits || now.since(self.sent) >= ANSWER_WAIT)
     }
 
-    fn ask(&mut self, now: TimePoint) -> ShareAsk {
+    fn ask(&mut self, now: TimePoint) -> ShareRequest {
         self.nonce += 1;
         self.sent = now;
         self.waits = true;
         self.told = self.held(now);
-        ShareAsk { nonce: self.nonce, demand: self.demand, held: self.told, used: 0 }
+        ShareRequest { nonce: self.nonce, demand: self.demand, held: self.told, used: 0 }
     }
 
     fn take(&mut self, now: TimePoint, nonce: u64, share: u64) {
@@ -67,7 +67,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut entries = entries(count);
     let mut book = LimitBook::open(TimePoint(0), limit, LEASE + MARGIN);
-    let mut asks: Vec<(TimePoint, usize, ShareAsk)> = Vec::new();
+    let mut asks: Vec<(TimePoint, usize, ShareRequest)> = Vec::new();
     let mut answers: Vec<(TimePoint, usize, u64, u64)> = Vec::new();
     let mut largest = 0;
     for step in 0..steps {
