--- a/crates/fleet/src/limit/limit_allocator.rs
+++ b/crates/fleet/src/limit/limit_allocator.rs
@@ -5,7 +5,7 @@
 
 use briartray_model::names::{IncarnationId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
-use briartray_routing::admission::{HolderId, LimitBook, ShareAsk};
+use briartray_routing::admission::{HolderId, LimitBook, ShareRequest};
 
 use super::terms::lower_rate;
 use super::{EndpointGrant, EndpointRate, LEASE_MARGIN, LimitReport, NamedLimit, SHARE_LEASE};
@@ -184,7 +184,7 @@
         if !self.admit_sender(now, holder, report.demand) {
             return 0;
         }
-        let ask = ShareAsk { nonce, demand: report.demand.0, held: report.held.0, used: 0 };
+        let ask = ShareRequest { nonce, demand: report.demand.0, held: report.held.0, used: 0 };
         self.book.renew(now, holder, &ask).unwrap_or(0)
     }
 
