--- a/crates/cli/src/cmd/measure/leader.rs
+++ b/crates/cli/src/cmd/measure/leader.rs
@@ -7,7 +7,8 @@
     CallerLimits, DeploymentPlan, EngineModel, ModelSpec, ServiceSpec,
 };
 use briartray_fleet::director::{
-    DirectorOutput, EndpointBeat, EndpointReport, FleetDirector, GroupMark, MarkState, OrderOutcome,
+    DirectorOutput, EndpointHeartbeat, EndpointReport, FleetDirector, GroupMembership, MemberState,
+    OrderOutcome,
 };
 use briartray_fleet::message::{EntryReport, GroupPulse, ViewVersion};
 use briartray_fleet::state::{FleetCommand, FleetState, GroupHost, GroupRecord};
@@ -106,8 +107,8 @@
         let mut state = FleetState::default();
         (0..endpoints / DOMAIN).for_each(|domain| form_groups(&mut state, domain));
         let mut director = FleetDirector::new(now, &FleetState::default());
-        for beat in beats(&state, endpoints) {
-            director.beat(now, beat);
+        for heartbeat in beats(&state, endpoints) {
+            director.heartbeat(now, heartbeat);
         }
         let mut trial = Self { entries, endpoints, now, plan: plan(), state, director };
         for _ in 0..WARM_UP {
@@ -124,7 +125,7 @@
             self.report(turn % self.entries);
         });
         let asker = self.report_of(0);
-        let loads = timed(|| drop(std::hint::black_box(self.director.loads_beside(&asker))));
+        let loads = timed(|| drop(std::hint::black_box(self.director.loads_of_others(&asker))));
         let version = ViewVersion::default();
         let make =
             |trial: &Self| trial.director.view(trial.now, &trial.state, &trial.plan, version);
@@ -176,7 +177,7 @@
         }
         for probe in probes {
             let known = self.director.hosts().get(&probe.id);
-            let report = known.map(|host| host.beat.report.clone());
+            let report = known.map(|host| host.heartbeat.report.clone());
             self.director.probed(self.now, &probe.id, report);
         }
         for order in orders {
@@ -224,19 +225,19 @@
 }
 
 /// First beats of all endpoints, each with its part in the groups of `state`.
-fn beats(state: &FleetState, endpoints: usize) -> Vec<EndpointBeat> {
-    let mut marks: Vec<(IncarnationId, GroupMark)> = Vec::new();
+fn beats(state: &FleetState, endpoints: usize) -> Vec<EndpointHeartbeat> {
+    let mut marks: Vec<(IncarnationId, GroupMembership)> = Vec::new();
     for (group, record) in state.groups().iter() {
         for (position, member) in record.members.iter().enumerate() {
-            let state = if position == 0 { MarkState::Open } else { MarkState::Ready };
-            marks.push((member.id.clone(), GroupMark { group: *group, state }));
+            let state = if position == 0 { MemberState::Open } else { MemberState::Ready };
+            marks.push((member.id.clone(), GroupMembership { group: *group, state }));
         }
     }
     marks.sort_by(|(a, _), (b, _)| a.cmp(b));
-    let beat = |number: usize| {
+    let heartbeat = |number: usize| {
         let id = endpoint_id(number);
         let found = marks.binary_search_by(|(known, _)| known.cmp(&id)).ok();
-        EndpointBeat {
+        EndpointHeartbeat {
             service: ServiceName::new("desk"),
             address: address_of(number),
             zone: ZoneName::new("zone"),
@@ -254,7 +255,7 @@
             id,
         }
     };
-    (0..endpoints).map(beat).collect()
+    (0..endpoints).map(heartbeat).collect()
 }
 
 fn plan() -> DeploymentPlan {
--- a/crates/fleet/src/director/evacuation.rs
+++ b/crates/fleet/src/director/evacuation.rs
@@ -13,7 +13,7 @@
     if state.evacuated().is_empty() {
         return false;
     }
-    let zone_of = |host: &GroupHost| hosts.get(&host.id).map(|known| &known.beat.zone);
+    let zone_of = |host: &GroupHost| hosts.get(&host.id).map(|known| &known.heartbeat.zone);
     let mut zones = record.members.iter().filter_map(zone_of).chain([&record.zone]);
     zones.any(|zone| state.is_evacuated(zone))
 }
--- a/crates/fleet/src/director/group.rs
+++ b/crates/fleet/src/director/group.rs
@@ -12,7 +12,7 @@
 
 use super::hosts::HostTable;
 use super::pulse::PulseBook;
-use super::{CloseMethod, EndpointOrder, HostRecord, MarkState, OrderCall};
+use super::{CloseMethod, EndpointOrder, HostRecord, MemberState, OrderCall};
 use crate::deployment::DeploymentPlan;
 use crate::state::{FleetState, GroupHost, GroupRecord};
 
@@ -106,7 +106,7 @@
     /// Whether it takes no new work.
     leaving: bool,
     /// State of the member in this group; `None` when it reports another group or none.
-    state: Option<MarkState>,
+    state: Option<MemberState>,
 }
 
 impl MemberView<'_> {
@@ -150,11 +150,11 @@
     pub(super) fn status(&'a self, group: GroupId, record: &'a GroupRecord) -> GroupStatus<'a> {
         let view = |member: &'a GroupHost| {
             let host = self.hosts.get(&member.id);
-            let membership = host.and_then(|host| host.beat.report.mark.as_ref());
+            let membership = host.and_then(|host| host.heartbeat.report.mark.as_ref());
             MemberView {
                 id: &member.id,
                 host,
-                leaving: host.is_some_and(|host| host.beat.leaving)
+                leaving: host.is_some_and(|host| host.heartbeat.leaving)
                     || self.leaving.binary_search(&&member.id).is_ok(),
                 state: membership
                     .filter(|membership| membership.group == group)
@@ -177,13 +177,13 @@
 
     /// Whether the group serves: its head reports so, and no member is missing or leaving.
     pub(super) fn is_open(&self) -> bool {
-        self.head().is_some_and(|head| head.state == Some(MarkState::Open)) && !self.is_impaired()
+        self.head().is_some_and(|head| head.state == Some(MemberState::Open)) && !self.is_impaired()
     }
 
     /// Whether a member is leaving, or one is missing and no entry observes that the group works.
     fn is_impaired(&self) -> bool {
         self.members.iter().any(|member| member.leaving)
-            || (self.lacks_member() && !self.is_moving())
+            || (self.lacks_member() && !self.is_active())
     }
 
     fn lacks_member(&self) -> bool {
@@ -197,8 +197,8 @@
     }
 
     /// Whether an entry observes that the whole group works.
-    fn is_moving(&self) -> bool {
-        self.context.pulses.is_moving(self.context.now, self.group, self.silence_limit())
+    fn is_active(&self) -> bool {
+        self.context.pulses.is_active(self.context.now, self.group, self.silence_limit())
     }
 
     /// Silence after which the group has most likely stalled.
@@ -217,8 +217,10 @@
 /// Returns the next step of the group and updates its tracker.
 pub(super) fn next_step(status: &GroupStatus<'_>, tracker: &mut GroupTracker) -> GroupStep {
     for member in &status.members {
-        let has_joined =
-            matches!(member.state, Some(MarkState::Ready | MarkState::Open | MarkState::Closing));
+        let has_joined = matches!(
+            member.state,
+            Some(MemberState::Ready | MemberState::Open | MemberState::Closing)
+        );
         if has_joined && !tracker.ready.contains(member.id) {
             tracker.ready.push(member.id.clone());
         }
@@ -243,9 +245,9 @@
     let Some(head) = status.head() else { return true };
     if tracker.has_served {
         // A member that left the group stalls it just as a dead one does.
-        let has_left = !matches!(head.state, Some(MarkState::Open | MarkState::Ready))
+        let has_left = !matches!(head.state, Some(MemberState::Open | MemberState::Ready))
             || status.members.iter().any(|member| member.state.is_none());
-        return has_left && !status.is_moving();
+        return has_left && !status.is_active();
     }
     if status.record.standby && tracker.ready.contains(head.id) {
         return head.state.is_none();
@@ -256,7 +258,7 @@
 /// Forms the group: every member joins, then the head opens.
 fn form_step(status: &GroupStatus<'_>, tracker: &mut GroupTracker) -> GroupStep {
     let Some(head) = status.head() else { return GroupStep::End };
-    if head.state == Some(MarkState::Open) {
+    if head.state == Some(MemberState::Open) {
         tracker.has_served = true;
         return GroupStep::Nothing;
     }
@@ -265,7 +267,7 @@
     if all_ready && record.standby {
         return GroupStep::Nothing;
     }
-    if all_ready && head.state == Some(MarkState::Ready) {
+    if all_ready && head.state == Some(MemberState::Ready) {
         return order_member(status, tracker, head, EndpointOrder::Open { group });
     }
     let members: Vec<IncarnationId> = record.members.iter().map(|host| host.id.clone()).collect();
@@ -290,8 +292,10 @@
     }
     match head.state {
         // The members are ordered to leave once the group has ended in the log.
-        None | Some(MarkState::Broken | MarkState::Joining | MarkState::Ready) => GroupStep::End,
-        Some(MarkState::Open | MarkState::Closing) => {
+        None | Some(MemberState::Broken | MemberState::Joining | MemberState::Ready) => {
+            GroupStep::End
+        }
+        Some(MemberState::Open | MemberState::Closing) => {
             let timed_out = status.context.now.since(since) > CLOSE_TIMEOUT;
             // With a member missing no request progresses, and waiting would only hold the hosts.
             let truncate = status.lacks_member() || timed_out;
@@ -319,6 +323,6 @@
 }
 
 fn order_call(member: &MemberView<'_>, order: EndpointOrder) -> Option<OrderCall> {
-    let address = member.host?.beat.address.clone();
+    let address = member.host?.heartbeat.address.clone();
     Some(OrderCall { id: member.id.clone(), address, order })
 }
--- a/crates/fleet/src/director/heartbeat.rs
+++ b/crates/fleet/src/director/heartbeat.rs
@@ -5,7 +5,7 @@
 
 plain_choice! {
     /// State of an endpoint in its group.
-    pub enum MarkState {
+    pub enum MemberState {
         /// It loads the weights or warms up.
         Joining,
         /// It has the weights and waits for the group to open.
@@ -21,11 +21,11 @@
 
 plain_value! {
     /// Group membership that an endpoint reports.
-    pub struct GroupMark {
+    pub struct GroupMembership {
         /// The group; its id is the epoch of the join order that the endpoint followed.
         pub group: GroupId,
         /// State of the endpoint in the group.
-        pub state: MarkState,
+        pub state: MemberState,
     }
 
     /// State that an endpoint sends with every heartbeat and in every answer to a probe.
@@ -36,7 +36,7 @@
         /// Models whose weights are staged on the host.
         pub staged: Vec<String>,
         /// Group membership; `None` for an endpoint in no group.
-        pub mark: Option<GroupMark>,
+        pub mark: Option<GroupMembership>,
         /// Ratio of its times to the nominal ones; above 1 it is slow. `None` in heartbeats.
         pub pace: Option<f64>,
         /// Whether it carries out an order, such as loading weights. `None` in heartbeats.
@@ -44,7 +44,7 @@
     }
 
     /// One heartbeat of an endpoint.
-    pub struct EndpointBeat {
+    pub struct EndpointHeartbeat {
         /// Incarnation of the endpoint.
         pub id: IncarnationId,
         /// Service of the endpoint.
--- a/crates/fleet/src/director/host_record.rs
+++ b/crates/fleet/src/director/host_record.rs
@@ -4,7 +4,7 @@
 
 use briartray_model::TimePoint;
 
-use super::{EndpointBeat, EndpointOrder};
+use super::{EndpointHeartbeat, EndpointOrder};
 use crate::deployment::ColdTerms;
 use crate::limit::EndpointRate;
 
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostRecord {
     /// Last heartbeat; probes update the report in it.
-    pub beat: EndpointBeat,
+    pub heartbeat: EndpointHeartbeat,
     /// When the endpoint was heard from for the first time.
     pub first_seen: TimePoint,
     /// Last sign of life.
@@ -69,13 +69,13 @@
 
 impl HostRecord {
     /// An endpoint that is first heard from at `now`.
-    pub(super) fn new(now: TimePoint, beat: EndpointBeat) -> Self {
+    pub(super) fn new(now: TimePoint, heartbeat: EndpointHeartbeat) -> Self {
         let next_probe_at = now.after(PROBE_INTERVAL);
-        let cold_until = now.after(Duration::from_millis(beat.cold_ms));
+        let cold_until = now.after(Duration::from_millis(heartbeat.cold_ms));
         Self {
             cold_until,
             readmitted_at: None,
-            beat,
+            heartbeat,
             first_seen: now,
             last_contact: now,
             failures: 0,
@@ -135,16 +135,16 @@
 
     /// Whether it serves as a member of groups rather than on its own.
     pub(super) fn serves_in_groups(&self) -> bool {
-        self.beat.report.domain.is_some()
+        self.heartbeat.report.domain.is_some()
     }
 
     /// Whether it would slow down a group much: a group runs at the pace of its slowest host.
     pub fn is_slow(&self) -> bool {
-        self.beat.report.pace.is_some_and(|pace| pace >= SLOW_PACE_FACTOR)
+        self.heartbeat.report.pace.is_some_and(|pace| pace >= SLOW_PACE_FACTOR)
     }
 
     /// Whether the weights of `model` are staged on the host.
     pub fn has_staged(&self, model: &str) -> bool {
-        self.beat.report.staged.iter().any(|staged| staged == model)
+        self.heartbeat.report.staged.iter().any(|staged| staged == model)
     }
 }
--- a/crates/fleet/src/director/hosts.rs
+++ b/crates/fleet/src/director/hosts.rs
@@ -12,7 +12,7 @@
 use briartray_model::{SortedTable, TimePoint};
 
 use super::host_record::{HostRecord, PROBE_INTERVAL};
-use super::{EndpointBeat, EndpointOrder, EndpointReport, ProbeCall};
+use super::{EndpointHeartbeat, EndpointOrder, EndpointReport, ProbeCall};
 
 /// Time between two probes of a lost endpoint; its first heartbeat tells of its return sooner.
 const LOST_PROBE_INTERVAL: Duration = Duration::from_millis(2_500);
@@ -59,30 +59,30 @@
     ///
     /// An endpoint may also restart under its old name: its earlier incarnation is then gone with
     /// its groups and its sequence numbers, and a late heartbeat of it is ignored.
-    pub fn beat(&mut self, now: TimePoint, beat: EndpointBeat) -> bool {
-        if self.records.get(&beat.id).is_none() && !self.replace_earlier(&beat.id) {
+    pub fn heartbeat(&mut self, now: TimePoint, heartbeat: EndpointHeartbeat) -> bool {
+        if self.records.get(&heartbeat.id).is_none() && !self.replace_earlier(&heartbeat.id) {
             return false;
         }
-        let claimants = self.claimants(&beat);
+        let claimants = self.claimants(&heartbeat);
         self.request_identity_checks(now, &claimants);
         let address_contested = !claimants.is_empty();
-        let Some(record) = self.records.get_mut(&beat.id) else {
-            let mut record = HostRecord::new(now, beat);
+        let Some(record) = self.records.get_mut(&heartbeat.id) else {
+            let mut record = HostRecord::new(now, heartbeat);
             record.unverified = address_contested && record.serves_in_groups();
             record.address_contested = address_contested;
-            self.records.insert(record.beat.id.clone(), record);
+            self.records.insert(record.heartbeat.id.clone(), record);
             return true;
         };
         // Heartbeats may arrive out of order: a late one would bring back a group that has ended.
-        if beat.sequence <= record.beat.sequence {
+        if heartbeat.sequence <= record.heartbeat.sequence {
             return false;
         }
         record.address_contested = address_contested;
         record.record_contact(now);
-        record.cold_until = now.after(Duration::from_millis(beat.cold_ms));
-        let leaving = record.beat.leaving || beat.leaving;
-        let report = beat.report.clone().completed(&record.beat.report);
-        record.beat = EndpointBeat { leaving, report, ..beat };
+        record.cold_until = now.after(Duration::from_millis(heartbeat.cold_ms));
+        let leaving = record.heartbeat.leaving || heartbeat.leaving;
+        let report = heartbeat.report.clone().completed(&record.heartbeat.report);
+        record.heartbeat = EndpointHeartbeat { leaving, report, ..heartbeat };
         true
     }
 
@@ -95,18 +95,19 @@
         is_latest
     }
 
-    /// Other endpoints at the address of `beat`.
+    /// Other endpoints at the address of `heartbeat`.
     ///
     /// All records are scanned only when the address is new or was contested: if heartbeats of
     /// 22,000 hosts each scanned all records, that would make 400 million comparisons a second.
-    fn claimants(&self, beat: &EndpointBeat) -> Vec<IncarnationId> {
-        let is_uncontested =
-            |record: &HostRecord| !record.address_contested && record.beat.address == beat.address;
-        if self.records.get(&beat.id).is_some_and(is_uncontested) {
+    fn claimants(&self, heartbeat: &EndpointHeartbeat) -> Vec<IncarnationId> {
+        let is_uncontested = |record: &HostRecord| {
+            !record.address_contested && record.heartbeat.address == heartbeat.address
+        };
+        if self.records.get(&heartbeat.id).is_some_and(is_uncontested) {
             return Vec::new();
         }
         let claimant = |(id, host): &(&IncarnationId, &HostRecord)| {
-            host.beat.address == beat.address && **id != beat.id
+            host.heartbeat.address == heartbeat.address && **id != heartbeat.id
         };
         self.records.iter().filter(claimant).map(|(id, _)| id.clone()).collect()
     }
@@ -138,7 +139,7 @@
             {
                 record.identity_check_due = false;
                 record.next_identity_check_at = now.after(IDENTITY_CHECK_INTERVAL);
-                due.push((id.clone(), record.beat.address.clone()));
+                due.push((id.clone(), record.heartbeat.address.clone()));
             }
         }
         due
@@ -153,13 +154,13 @@
     }
 
     /// Adds an endpoint that an earlier leader knew and that this one has not heard from.
-    pub fn inherit(&mut self, now: TimePoint, beat: EndpointBeat) {
-        let mut record = HostRecord::new(now, beat);
+    pub fn inherit(&mut self, now: TimePoint, heartbeat: EndpointHeartbeat) {
+        let mut record = HostRecord::new(now, heartbeat);
         record.next_probe_at = now;
         record.inherited = true;
         // Earlier incarnations at its address may be inherited as well.
         record.address_contested = true;
-        self.records.insert(record.beat.id.clone(), record);
+        self.records.insert(record.heartbeat.id.clone(), record);
     }
 
     /// Whether every inherited endpoint that serves in groups has answered or is lost.
@@ -177,8 +178,8 @@
                 record.record_contact(now);
                 record.last_answer_at = Some(now);
                 record.next_probe_at = now.after(PROBE_INTERVAL);
-                let domain = report.domain.clone().or(record.beat.report.domain.take());
-                record.beat.report = EndpointReport { domain, ..report };
+                let domain = report.domain.clone().or(record.heartbeat.report.domain.take());
+                record.heartbeat.report = EndpointReport { domain, ..report };
                 let since = record.slow_since.unwrap_or(now);
                 record.slow_since = record.is_slow().then_some(since);
             }
@@ -194,7 +195,7 @@
     }
 
     /// Probes the endpoint again, since there was no time to read its answer.
-    pub fn unread(&mut self, now: TimePoint, id: &IncarnationId) {
+    pub fn probe_unread(&mut self, now: TimePoint, id: &IncarnationId) {
         if let Some(record) = self.records.get_mut(id) {
             record.probe_sent_at = None;
             record.next_probe_at = now;
@@ -203,7 +204,7 @@
 
     /// Records that requests go to the endpoints of `zone` again.
     pub fn readmit(&mut self, now: TimePoint, zone: &ZoneName) {
-        for record in self.records.values_mut().filter(|record| record.beat.zone == *zone) {
+        for record in self.records.values_mut().filter(|record| record.heartbeat.zone == *zone) {
             record.readmitted_at = Some(now);
         }
     }
@@ -259,7 +260,7 @@
             let is_repeated = record.probe_sent_at.replace(now).is_some();
             let urgent = is_repeated || record.failures > 0 || record.suspect;
             (record.probe_requested, record.suspect) = (false, false);
-            ProbeCall { id: id.clone(), address: record.beat.address.clone(), urgent }
+            ProbeCall { id: id.clone(), address: record.heartbeat.address.clone(), urgent }
         };
         due.into_iter().map(probe_call).collect()
     }
@@ -311,7 +312,7 @@
         &'a self,
         service: &'a ServiceName,
     ) -> impl Iterator<Item = (&'a IncarnationId, &'a HostRecord)> {
-        self.records.iter().filter(move |(_, record)| record.beat.service == *service)
+        self.records.iter().filter(move |(_, record)| record.heartbeat.service == *service)
     }
 
     /// All endpoints, mutable.
--- a/crates/fleet/src/director/mod.rs
+++ b/crates/fleet/src/director/mod.rs
@@ -23,11 +23,11 @@
 mod view;
 
 pub use demand::DemandBook;
-pub use heartbeat::{EndpointBeat, EndpointReport, GroupMark, MarkState};
+pub use heartbeat::{EndpointHeartbeat, EndpointReport, GroupMembership, MemberState};
 pub use host_record::HostRecord;
 pub use hosts::HostTable;
 pub use loads::LoadLimiter;
 pub use order::{CloseMethod, EndpointOrder, OrderCall, OrderOutcome, ProbeCall};
 pub use plan::{GroupPlanner, PlacedGroup, PlanAction, PlanView, PoolHost};
 pub use pulse::PulseBook;
-pub use step::{DirectorOutput, ENTRY_GONE, FleetDirector};
+pub use step::{DirectorOutput, ENTRY_TIMEOUT, FleetDirector};
--- a/crates/fleet/src/director/planning.rs
+++ b/crates/fleet/src/director/planning.rs
@@ -10,7 +10,7 @@
 use super::plan::{GroupPlanner, PlacedGroup, PlanAction, PlanView, PoolHost};
 use super::stale_member;
 use super::step::{DirectorOutput, LOAD_TIMEOUT_FACTOR};
-use super::{EndpointOrder, FleetDirector, HostRecord, MarkState, OrderCall};
+use super::{EndpointOrder, FleetDirector, HostRecord, MemberState, OrderCall};
 use crate::deployment::{EngineModel, ModelSpec, ServiceSpec};
 use crate::state::{FleetCommand, FleetState, GroupHost, GroupRecord, MemberIndex};
 
@@ -155,7 +155,7 @@
 
     /// Number of fabric domains known for `service`.
     fn domains(&self, service: &ServiceName) -> usize {
-        let domain = |host: &HostRecord| host.beat.report.domain.clone();
+        let domain = |host: &HostRecord| host.heartbeat.report.domain.clone();
         let mut domains: Vec<DomainName> =
             self.hosts.of_service(service).filter_map(|(_, host)| domain(host)).collect();
         domains.sort();
@@ -192,7 +192,7 @@
         let time = engine.model(&model).map_or(Duration::ZERO, |spec| spec.load_time);
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.staging = Some((model.clone(), now.after(time * LOAD_TIMEOUT_FACTOR)));
-        let (id, address) = (id.clone(), host.beat.address.clone());
+        let (id, address) = (id.clone(), host.heartbeat.address.clone());
         output.orders.push(OrderCall { id, address, order: EndpointOrder::Stage { model } });
     }
 
@@ -210,12 +210,12 @@
             // Without a domain it is no group host of this service; after a missed probe it most
             // likely broke its group; the weights of an inherited host are unknown until it is
             // heard from.
-            host.beat.report.domain.is_some()
+            host.heartbeat.report.domain.is_some()
                 && host.failures == 0
                 && !host.inherited
-                && !host.beat.leaving
+                && !host.heartbeat.leaving
                 && leaving.binary_search(&id).is_err()
-                && !state.is_evacuated(&host.beat.zone)
+                && !state.is_evacuated(&host.heartbeat.zone)
                 && !index.group_of(id).is_some_and(|group| is_evacuated(&self.hosts, state, group))
         };
         // Sorted by name, like the table.
@@ -337,10 +337,10 @@
     let no_domain = || DomainName::new("");
     PoolHost {
         id: id.clone(),
-        address: host.beat.address.clone(),
-        domain: host.beat.report.domain.clone().unwrap_or_else(no_domain),
-        zone: host.beat.zone.clone(),
-        staged: host.beat.report.staged.clone(),
+        address: host.heartbeat.address.clone(),
+        domain: host.heartbeat.report.domain.clone().unwrap_or_else(no_domain),
+        zone: host.heartbeat.zone.clone(),
+        staged: host.heartbeat.report.staged.clone(),
         staging: staging_of(host),
         warm_model: host.warm_model.clone(),
         slow: host.is_slow(),
@@ -355,12 +355,12 @@
 /// Without this, a new leader orders running loads once more: nine in a second.
 fn staging_of(host: &HostRecord) -> Option<String> {
     let joins = host
-        .beat
+        .heartbeat
         .report
         .mark
         .as_ref()
-        .is_some_and(|membership| membership.state == MarkState::Joining);
-    let busy = host.beat.report.busy == Some(true);
+        .is_some_and(|membership| membership.state == MemberState::Joining);
+    let busy = host.heartbeat.report.busy == Some(true);
     let unknown = || (busy && !joins).then(String::new);
     host.staging.as_ref().map(|(model, _)| model.clone()).or_else(unknown)
 }
--- a/crates/fleet/src/director/pulse.rs
+++ b/crates/fleet/src/director/pulse.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether an entry got bytes of the group within `limit` before its newest observation.
-    pub fn is_moving(&self, now: TimePoint, group: GroupId, limit: Duration) -> bool {
+    pub fn is_active(&self, now: TimePoint, group: GroupId, limit: Duration) -> bool {
         let lifetime = report_pause(self.entry_count) + REPORT_GRACE;
         self.observations(group).any(|observation| {
             let is_current = now.since(observation.reported_at) < lifetime;
@@ -132,7 +132,7 @@
         let silent = |observation: &EntryObservation| {
             observation.suspect && now.since(observation.reported_at) < SUSPICION_LIFETIME
         };
-        !self.is_moving(now, group, limit) && self.observations(group).any(silent)
+        !self.is_active(now, group, limit) && self.observations(group).any(silent)
     }
 
     /// Removes the groups for which `keep` returns `false`.
@@ -151,7 +151,7 @@
 
     /// Running requests of entries other than `entry`, for all observed groups; when these are
     /// many, for one `page` of them.
-    pub fn loads_beside(&self, entry: &NodeName, page: u64) -> Vec<GroupLoad> {
+    pub fn loads_of_others(&self, entry: &NodeName, page: u64) -> Vec<GroupLoad> {
         let number = self.entry_numbers.get(entry);
         let load = |(group, observations): (&GroupId, &GroupObservations)| {
             let own = number.and_then(|number| observations.by_entry.get(number));
--- a/crates/fleet/src/director/records.rs
+++ b/crates/fleet/src/director/records.rs
@@ -4,7 +4,7 @@
 use briartray_model::names::IncarnationId;
 
 use super::step::DirectorOutput;
-use super::{EndpointBeat, EndpointReport, FleetDirector, HostRecord};
+use super::{EndpointHeartbeat, EndpointReport, FleetDirector, HostRecord};
 use crate::state::{EndpointRecord, FleetCommand, FleetState};
 
 /// Limit on endpoints in one command. Nothing is planned while commands are pending: with one
@@ -41,20 +41,20 @@
 
 /// Record of an endpoint for the log.
 fn record_of(host: &HostRecord) -> EndpointRecord {
-    let beat = &host.beat;
+    let heartbeat = &host.heartbeat;
     EndpointRecord {
-        id: beat.id.clone(),
-        service: beat.service.clone(),
-        address: beat.address.clone(),
-        zone: beat.zone.clone(),
-        domain: beat.report.domain.clone(),
-        slots: beat.slots,
+        id: heartbeat.id.clone(),
+        service: heartbeat.service.clone(),
+        address: heartbeat.address.clone(),
+        zone: heartbeat.zone.clone(),
+        domain: heartbeat.report.domain.clone(),
+        slots: heartbeat.slots,
     }
 }
 
 /// Placeholder heartbeat for an endpoint in the log; any received one is newer.
-pub(super) fn inherited_heartbeat(record: &EndpointRecord) -> EndpointBeat {
-    EndpointBeat {
+pub(super) fn inherited_heartbeat(record: &EndpointRecord) -> EndpointHeartbeat {
+    EndpointHeartbeat {
         id: record.id.clone(),
         service: record.service.clone(),
         address: record.address.clone(),
--- a/crates/fleet/src/director/stale_member.rs
+++ b/crates/fleet/src/director/stale_member.rs
@@ -11,7 +11,7 @@
 
 use super::host_record::HostRecord;
 use super::hosts::HostTable;
-use super::{CloseMethod, EndpointOrder, MarkState, OrderCall};
+use super::{CloseMethod, EndpointOrder, MemberState, OrderCall};
 use crate::state::FleetState;
 
 /// Wait before an order without visible effect is sent again.
@@ -19,7 +19,7 @@
 
 /// Whether `host` reports that it is in a group that has ended.
 pub(super) fn is_stale_member(host: &HostRecord, state: &FleetState) -> bool {
-    let membership = host.beat.report.mark.as_ref();
+    let membership = host.heartbeat.report.mark.as_ref();
     membership.is_some_and(|membership| !state.groups().contains_key(&membership.group))
 }
 
@@ -38,13 +38,13 @@
         if host.is_lost() || !is_stale_member(host, state) {
             continue;
         }
-        let Some(membership) = &host.beat.report.mark else { continue };
+        let Some(membership) = &host.heartbeat.report.mark else { continue };
         let group = membership.group;
         let order = match membership.state {
-            MarkState::Open | MarkState::Closing => {
+            MemberState::Open | MemberState::Closing => {
                 EndpointOrder::Close { group, method: CloseMethod::Truncate }
             }
-            MarkState::Joining | MarkState::Ready | MarkState::Broken => {
+            MemberState::Joining | MemberState::Ready | MemberState::Broken => {
                 EndpointOrder::Leave { group }
             }
         };
@@ -54,7 +54,11 @@
             .is_some_and(|(last, at)| *last == order && now.since(*at) < RELEASE_RETRY_INTERVAL);
         if !is_pending {
             host.release_order = Some((order.clone(), now));
-            calls.push(OrderCall { id: id.clone(), address: host.beat.address.clone(), order });
+            calls.push(OrderCall {
+                id: id.clone(),
+                address: host.heartbeat.address.clone(),
+                order,
+            });
         }
     }
     calls
--- a/crates/fleet/src/director/step.rs
+++ b/crates/fleet/src/director/step.rs
@@ -15,7 +15,8 @@
 use super::records::inherited_heartbeat;
 use super::stale_member;
 use super::{
-    EndpointBeat, EndpointOrder, EndpointReport, MarkState, OrderCall, OrderOutcome, ProbeCall,
+    EndpointHeartbeat, EndpointOrder, EndpointReport, MemberState, OrderCall, OrderOutcome,
+    ProbeCall,
 };
 use crate::deployment::DeploymentPlan;
 use crate::message::{EntryReport, GroupLoad};
@@ -42,7 +43,7 @@
 pub(super) const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
 /// Time without a report after which an entry no longer counts; a dozen reports fit in.
-pub const ENTRY_GONE: Duration = Duration::from_secs(3);
+pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Id that no group has.
 const NO_GROUP: GroupId = GroupId(0);
@@ -110,14 +111,15 @@
     }
 
     /// Records a heartbeat and returns whether the known report changed.
-    pub fn beat(&mut self, now: TimePoint, beat: EndpointBeat) -> bool {
-        let report = |host: &HostRecord| host.beat.report.clone();
-        let id = beat.id.clone();
+    pub fn heartbeat(&mut self, now: TimePoint, heartbeat: EndpointHeartbeat) -> bool {
+        let report = |host: &HostRecord| host.heartbeat.report.clone();
+        let id = heartbeat.id.clone();
         let known = self.hosts.get(&id).map(report);
         if known.is_none() {
             self.last_new_endpoint = now;
         }
-        let changed = self.hosts.beat(now, beat) && known != self.hosts.get(&id).map(report);
+        let changed =
+            self.hosts.heartbeat(now, heartbeat) && known != self.hosts.get(&id).map(report);
         self.replan_needed |= changed;
         changed
     }
@@ -130,7 +132,8 @@
         id: &IncarnationId,
         report: Option<EndpointReport>,
     ) -> bool {
-        let known_report = |hosts: &HostTable| hosts.get(id).map(|host| host.beat.report.clone());
+        let known_report =
+            |hosts: &HostTable| hosts.get(id).map(|host| host.heartbeat.report.clone());
         let known = known_report(&self.hosts);
         let silent = report.is_none();
         self.hosts.probed(now, id, report);
@@ -140,8 +143,8 @@
     }
 
     /// Records that there was no time to read the answer to a probe.
-    pub fn unread(&mut self, now: TimePoint, id: &IncarnationId) {
-        self.hosts.unread(now, id);
+    pub fn probe_unread(&mut self, now: TimePoint, id: &IncarnationId) {
+        self.hosts.probe_unread(now, id);
     }
 
     /// Records the outcome of an order.
@@ -190,15 +193,15 @@
     }
 
     /// Running requests of the other entries, for all groups or for one page of many.
-    pub fn loads_beside(&self, report: &EntryReport) -> Vec<GroupLoad> {
-        self.pulses.loads_beside(&report.node, report.nonce)
+    pub fn loads_of_others(&self, report: &EntryReport) -> Vec<GroupLoad> {
+        self.pulses.loads_of_others(&report.node, report.nonce)
     }
 
     /// Removes entries that no longer report.
     fn expire_entries(&mut self, now: TimePoint) {
         let pulses = &mut self.pulses;
         self.entries.retain(|entry, last_report| {
-            let is_current = now.since(*last_report) < ENTRY_GONE;
+            let is_current = now.since(*last_report) < ENTRY_TIMEOUT;
             if !is_current {
                 pulses.forget(entry);
             }
@@ -219,7 +222,7 @@
     }
 
     /// Incarnation meant by `id`: the known one where `id` does not contain a start time.
-    pub fn leaving_start(&self, id: IncarnationId) -> IncarnationId {
+    pub fn resolve_incarnation(&self, id: IncarnationId) -> IncarnationId {
         match id.started_at() {
             Some(_) => id,
             None => self.hosts.incarnation_of(id.endpoint()).cloned().unwrap_or(id),
@@ -227,7 +230,7 @@
     }
 
     /// Removes an endpoint that is gone for good.
-    pub fn gone(&mut self, id: &IncarnationId) {
+    pub fn endpoint_gone(&mut self, id: &IncarnationId) {
         self.replan_needed = true;
         self.hosts.remove(id);
     }
@@ -322,8 +325,8 @@
     /// Records the model with which each host can join a group at once.
     fn record_warm_models(&mut self, state: &FleetState) {
         for (_, host) in self.hosts.iter_mut() {
-            let Some(membership) = &host.beat.report.mark else { continue };
-            let warm = matches!(membership.state, MarkState::Ready | MarkState::Open);
+            let Some(membership) = &host.heartbeat.report.mark else { continue };
+            let warm = matches!(membership.state, MemberState::Ready | MemberState::Open);
             if let Some(record) = state.groups().get(&membership.group).filter(|_| warm)
                 && host.warm_model.as_deref() != Some(&record.model)
             {
--- a/crates/fleet/src/director/view.rs
+++ b/crates/fleet/src/director/view.rs
@@ -48,12 +48,12 @@
         let mut descriptions: Vec<String> = Vec::new();
         let index = MemberIndex::new(state);
         for (id, host) in self.hosts.iter() {
-            let Some(domain) = &host.beat.report.domain else { continue };
+            let Some(domain) = &host.heartbeat.report.domain else { continue };
             let grouped = index.group_of(id).is_some_and(|group| !group.standby);
-            if grouped || host.is_lost() || host.beat.leaving || state.is_leaving(id) {
+            if grouped || host.is_lost() || host.heartbeat.leaving || state.is_leaving(id) {
                 continue;
             }
-            let staged = host.beat.report.staged.join("+");
+            let staged = host.heartbeat.report.staged.join("+");
             let loading = host.staging.as_ref().map_or("", |(model, _)| model);
             descriptions.push(format!("{domain}:{staged}>{loading}"));
         }
@@ -84,14 +84,14 @@
     ) -> impl Iterator<Item = EndpointView> + 'a {
         self.hosts
             .of_service(&service.name)
-            .filter(|(id, host)| !host.beat.leaving && !state.is_leaving(id))
-            .filter(|(_, host)| !state.is_evacuated(&host.beat.zone))
+            .filter(|(id, host)| !host.heartbeat.leaving && !state.is_leaving(id))
+            .filter(|(_, host)| !state.is_evacuated(&host.heartbeat.zone))
             .map(move |(id, host)| EndpointView {
                 id: id.clone(),
-                service: host.beat.service.clone(),
-                address: host.beat.address.clone(),
-                zone: host.beat.zone.clone(),
-                slots: host.beat.slots,
+                service: host.heartbeat.service.clone(),
+                address: host.heartbeat.address.clone(),
+                zone: host.heartbeat.zone.clone(),
+                slots: host.heartbeat.slots,
                 cold: host.cold_rate(now, service.cold),
             })
     }
--- a/crates/fleet/tests/director/fleet.rs
+++ b/crates/fleet/tests/director/fleet.rs
@@ -5,7 +5,7 @@
 
 use briartray_fleet::deployment::{ColdTerms, DeploymentPlan};
 use briartray_fleet::director::{
-    EndpointBeat, EndpointOrder, FleetDirector, MarkState, OrderCall, OrderOutcome,
+    EndpointHeartbeat, EndpointOrder, FleetDirector, MemberState, OrderCall, OrderOutcome,
 };
 use briartray_fleet::limit::EndpointRate;
 use briartray_fleet::message::{EntryReport, GroupPulse, ModelDemand, ViewVersion, WorkSum};
@@ -202,8 +202,8 @@
 
     /// Delivers a heartbeat that the endpoint sent before it died.
     pub fn deliver_old_heartbeat(&mut self, host: usize) {
-        let beat = self.hosts[host].model.beat();
-        self.director.beat(self.now, beat);
+        let heartbeat = self.hosts[host].model.heartbeat();
+        self.director.heartbeat(self.now, heartbeat);
     }
 
     /// Replaces the leader by one that knows only the agreed state.
@@ -310,7 +310,7 @@
             (member.group == group).then_some(member.state)
         };
         let states: Vec<_> = record.members.iter().map(|host| member(&host.id)).collect();
-        states.first() == Some(&Some(MarkState::Open)) && states.iter().all(Option::is_some)
+        states.first() == Some(&Some(MemberState::Open)) && states.iter().all(Option::is_some)
     }
 
     fn step_hosts(&mut self) {
@@ -323,7 +323,7 @@
             let changed = host.model.tick(now);
             let due = changed || now >= host.heartbeat_at;
             if let Some(member) = &host.model.member
-                && member.state == MarkState::Ready
+                && member.state == MemberState::Ready
             {
                 let seen = (member.group, host.model.place.id.clone());
                 if !self.ready.contains(&seen) {
@@ -332,18 +332,18 @@
             }
             if due && !host.isolated {
                 host.heartbeat_at = now.after(self.heartbeat_interval);
-                let beat = host.model.beat();
-                self.beat(beat);
+                let heartbeat = host.model.heartbeat();
+                self.heartbeat(heartbeat);
             }
             self.check_open(position);
         }
     }
 
-    fn beat(&mut self, beat: EndpointBeat) {
-        if beat.leaving {
-            self.state.apply(&FleetCommand::MarkLeaving(beat.id.clone()));
+    fn heartbeat(&mut self, heartbeat: EndpointHeartbeat) {
+        if heartbeat.leaving {
+            self.state.apply(&FleetCommand::MarkLeaving(heartbeat.id.clone()));
         }
-        self.director.beat(self.now, beat);
+        self.director.heartbeat(self.now, heartbeat);
     }
 
     fn probe(&mut self, id: &IncarnationId) {
@@ -356,7 +356,7 @@
         // One that restarted under the same name does: it reports its start time.
         let starts_later = |host: &&TestHost| id.is_before(&host.model.place.id);
         if host.filter(|host| answers(host) && !lost).is_some_and(|host| starts_later(&host)) {
-            return self.director.gone(id);
+            return self.director.endpoint_gone(id);
         }
         let report = host.filter(|host| answers(host) && !lost).map(|host| host.model.report());
         self.director.probed(self.now, id, report);
@@ -440,7 +440,7 @@
             let host = &self.hosts[head];
             let open = host.model.member.as_ref().is_some_and(|member| {
                 member.group == before.group
-                    && matches!(member.state, MarkState::Open | MarkState::Closing)
+                    && matches!(member.state, MemberState::Open | MemberState::Closing)
             });
             host.alive && open
         });
@@ -450,7 +450,7 @@
     /// Checks that no group serves before each of its members was ready for it.
     fn check_open(&self, position: usize) {
         let host = &self.hosts[position].model;
-        let Some(member) = host.member.as_ref().filter(|m| m.state == MarkState::Open) else {
+        let Some(member) = host.member.as_ref().filter(|m| m.state == MemberState::Open) else {
             return;
         };
         for id in &member.members {
--- a/crates/fleet/tests/probes.rs
+++ b/crates/fleet/tests/probes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briartray_fleet::director::{EndpointBeat, EndpointReport, HostTable, ProbeCall};
+use briartray_fleet::director::{EndpointHeartbeat, EndpointReport, HostTable, ProbeCall};
 use briartray_model::TimePoint;
 use briartray_model::names::{DomainName, IncarnationId, ServiceName, ZoneName};
 
@@ -16,7 +16,7 @@
     let mut table = HostTable::default();
     let report =
         EndpointReport { domain: Some(DomainName::new("domain-0")), ..EndpointReport::default() };
-    let beat = EndpointBeat {
+    let heartbeat = EndpointHeartbeat {
         id: host(),
         service: ServiceName::new("desk"),
         address: "10.0.0.1:80".to_owned(),
@@ -27,7 +27,7 @@
         sequence: 1,
         report,
     };
-    table.beat(now, beat);
+    table.heartbeat(now, heartbeat);
     (table, now.after(Duration::from_secs(1)))
 }
 
@@ -59,7 +59,7 @@
     for round in 0..5 {
         let now = now.after(Duration::from_millis(round * 200));
         assert_eq!(due_probes(&mut table, now).len(), 1);
-        table.unread(now, &host());
+        table.probe_unread(now, &host());
     }
 
     assert!(table.get(&host()).is_some_and(|host| !host.is_lost() && host.failures == 0));
--- a/crates/fleet/tests/pulses.rs
+++ b/crates/fleet/tests/pulses.rs
@@ -32,7 +32,7 @@
     report(&mut book, at(0), "cut-off", 900, true);
     report(&mut book, at(10), "served", 270, false);
 
-    assert!(book.is_moving(at(255), GROUP, SILENCE_LIMIT));
+    assert!(book.is_active(at(255), GROUP, SILENCE_LIMIT));
     assert!(!book.is_suspect(at(255), GROUP, SILENCE_LIMIT));
 }
 
@@ -47,7 +47,7 @@
     report(&mut book, at(420), "a", 440, true);
     report(&mut book, at(425), "b", 405, true);
 
-    assert!(!book.is_moving(at(430), GROUP, SILENCE_LIMIT));
+    assert!(!book.is_active(at(430), GROUP, SILENCE_LIMIT));
     assert!(book.is_suspect(at(430), GROUP, SILENCE_LIMIT));
 }
 
@@ -58,8 +58,8 @@
 
     report(&mut book, at(0), "gone", 10, false);
 
-    assert!(book.is_moving(at(300), GROUP, SILENCE_LIMIT));
-    assert!(!book.is_moving(at(360), GROUP, SILENCE_LIMIT));
+    assert!(book.is_active(at(300), GROUP, SILENCE_LIMIT));
+    assert!(!book.is_active(at(360), GROUP, SILENCE_LIMIT));
 }
 
 /// An entry knows its own requests on a group, but little of those of other entries. The leader
@@ -74,10 +74,10 @@
     book.take(at(0), &second, &[running(7)]);
     book.take(at(250), &first, &[running(2)]);
 
-    assert_eq!(book.loads_beside(&first, 0), [GroupLoad { group: GROUP, others: 7 }]);
-    assert_eq!(book.loads_beside(&third, 0), [GroupLoad { group: GROUP, others: 9 }]);
+    assert_eq!(book.loads_of_others(&first, 0), [GroupLoad { group: GROUP, others: 7 }]);
+    assert_eq!(book.loads_of_others(&third, 0), [GroupLoad { group: GROUP, others: 9 }]);
     book.forget(&second);
-    assert_eq!(book.loads_beside(&third, 0), [GroupLoad { group: GROUP, others: 2 }]);
+    assert_eq!(book.loads_of_others(&third, 0), [GroupLoad { group: GROUP, others: 2 }]);
 }
 
 /// The loads of 2,800 groups, the design size, do not fit into each answer. They must be sent in
@@ -92,7 +92,8 @@
     book.take(at(0), &sender, &pulses);
 
     // Four answers per second for three seconds.
-    let told: Vec<Vec<GroupLoad>> = (5..17).map(|turn| book.loads_beside(&reader, turn)).collect();
+    let told: Vec<Vec<GroupLoad>> =
+        (5..17).map(|turn| book.loads_of_others(&reader, turn)).collect();
 
     let mut groups: Vec<GroupId> = told.iter().flatten().map(|load| load.group).collect();
     groups.sort();
@@ -113,7 +114,7 @@
 
     book.take(at(2_250), &gone, &[]);
 
-    assert_eq!(book.loads_beside(&reader, 0), [GroupLoad { group: GROUP, others: 0 }]);
+    assert_eq!(book.loads_of_others(&reader, 0), [GroupLoad { group: GROUP, others: 0 }]);
 }
 
 /// Guards against an entry that returns after it was forgotten and is counted as another one, or
@@ -130,6 +131,6 @@
     book.take(at(3_000), &first, &[running(3)]);
     book.take(at(3_250), &first, &[running(4)]);
 
-    assert_eq!(book.loads_beside(&reader, 0), [GroupLoad { group: GROUP, others: 11 }]);
-    assert_eq!(book.loads_beside(&second, 0), [GroupLoad { group: GROUP, others: 4 }]);
+    assert_eq!(book.loads_of_others(&reader, 0), [GroupLoad { group: GROUP, others: 11 }]);
+    assert_eq!(book.loads_of_others(&second, 0), [GroupLoad { group: GROUP, others: 4 }]);
 }
--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -128,7 +128,7 @@
                 let reply = self.ask(|reply| CoreInput::Get { reply }).await;
                 self.answer(&path, reply)
             }
-            ControlCall::Beat { id } => self.beat(&path, &id, &body).await,
+            ControlCall::Beat { id } => self.heartbeat(&path, &id, &body).await,
             ControlCall::Leave { id } => {
                 let id = read_leave(&id, &body);
                 let reply = self.ask(|reply| CoreInput::Leave { id, reply }).await;
@@ -182,9 +182,9 @@
         }
     }
 
-    async fn beat(&self, path: &str, id: &str, body: &[u8]) -> Response<AnswerBody> {
+    async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<AnswerBody> {
         match read_beat(id, body) {
-            Ok(beat) => match self.ask(|reply| CoreInput::Beat { beat, reply }).await {
+            Ok(heartbeat) => match self.ask(|reply| CoreInput::Beat { heartbeat, reply }).await {
                 ControlReply::Done => beat_answer(&self.address.to_string()).map(AnswerBody::whole),
                 reply => self.answer(path, reply),
             },
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -1,6 +1,6 @@
 //! What operators declare, and what endpoints tell: beats, notices of leaving, answers to probes and orders.
 
-use briartray_fleet::director::{EndpointBeat, OrderCall, OrderOutcome};
+use briartray_fleet::director::{EndpointHeartbeat, OrderCall, OrderOutcome};
 use briartray_fleet::state::{FleetCommand, StoredPlan};
 use briartray_model::TimePoint;
 use briartray_model::names::IncarnationId;
@@ -29,12 +29,17 @@
     }
 
     /// Takes the beat of an endpoint that found this host.
-    pub(super) fn beat(&mut self, now: TimePoint, beat: EndpointBeat, reply: ReplySender) {
+    pub(super) fn heartbeat(
+        &mut self,
+        now: TimePoint,
+        heartbeat: EndpointHeartbeat,
+        reply: ReplySender,
+    ) {
         if !self.is_established() {
-            return self.relay_beat(now, beat, reply);
+            return self.relay_beat(now, heartbeat, reply);
         }
-        let (id, leaving) = (beat.id.clone(), beat.leaving);
-        self.take_beats(now, vec![beat]);
+        let (id, leaving) = (heartbeat.id.clone(), heartbeat.leaving);
+        self.take_beats(now, vec![heartbeat]);
         if leaving && !self.state.is_leaving(&id) {
             self.leave(id, reply);
         } else {
@@ -48,19 +53,19 @@
         let Some(leadership) = self.leadership.as_ref().filter(|lead| lead.established) else {
             return self.redirect(reply);
         };
-        let id = leadership.director.leaving_start(id);
+        let id = leadership.director.resolve_incarnation(id);
         log::info!(endpoint:% = id; "an endpoint is leaving");
         self.submit(&FleetCommand::MarkLeaving(id), CommandOrigin::Caller(reply));
     }
 
     /// Takes beats that came here, or to another control host.
-    pub(super) fn take_beats(&mut self, now: TimePoint, beats: Vec<EndpointBeat>) {
+    pub(super) fn take_beats(&mut self, now: TimePoint, beats: Vec<EndpointHeartbeat>) {
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.established) else {
             return;
         };
-        for beat in beats {
-            log::trace!("beat {beat:?}");
-            if leadership.director.beat(now, beat) {
+        for heartbeat in beats {
+            log::trace!("beat {heartbeat:?}");
+            if leadership.director.heartbeat(now, heartbeat) {
                 leadership.dirty = true;
                 leadership.step_due = true;
             }
@@ -76,10 +81,10 @@
                 let report = Some(report.clone());
                 leadership.step_due |= leadership.director.probed(now, id, report);
             }
-            ProbeResult::OtherEndpoint => leadership.director.gone(id),
+            ProbeResult::OtherEndpoint => leadership.director.endpoint_gone(id),
             ProbeResult::Unread => {
                 self.parts.metrics.unread_probes.inc();
-                return leadership.director.unread(now, id);
+                return leadership.director.probe_unread(now, id);
             }
             ProbeResult::Silent => {
                 self.parts.metrics.silent_probes.inc();
--- a/crates/gateway/src/control/inform.rs
+++ b/crates/gateway/src/control/inform.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briartray_fleet::director::ENTRY_GONE;
+use briartray_fleet::director::ENTRY_TIMEOUT;
 use briartray_fleet::message::{EntryNotice, EntryReport, ViewVersion};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::{EncodedMessage, LinkWriter};
@@ -47,7 +47,7 @@
         let newest = plan.map(|plan| plan.version);
         let plan_bytes = plan.map_or(0, StoredPlan::packed_len);
         let Some(leadership) = &mut self.leadership else { return };
-        leadership.entries.retain(|_, entry| now.since(entry.heard) < ENTRY_GONE);
+        leadership.entries.retain(|_, entry| now.since(entry.heard) < ENTRY_TIMEOUT);
         let mut encoded = SortedTable::new();
         for entry in leadership.entries.values_mut() {
             let lacks_plan = entry.plan < newest && leadership.pace.may_send(now, plan_bytes);
@@ -144,7 +144,7 @@
         let news = self.news();
         let newest = self.state.plan().map(|plan| plan.version);
         let Some(leadership) = &mut self.leadership else { return self.name_leader(writer) };
-        let loads = leadership.director.loads_beside(report);
+        let loads = leadership.director.loads_of_others(report);
         let session = leadership.entries.get_mut(&report.node);
         let mut session = session.filter(|session| session.writer.is_same(writer));
         // The session knows what is on its way beside what the report names.
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -3,7 +3,9 @@
 use std::time::Instant;
 
 use briartray_control::agreement::PeerMessage;
-use briartray_fleet::director::{EndpointBeat, EndpointReport, OrderCall, OrderOutcome, ProbeCall};
+use briartray_fleet::director::{
+    EndpointHeartbeat, EndpointReport, OrderCall, OrderOutcome, ProbeCall,
+};
 use briartray_fleet::message::{EntryReport, HostHello};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::LinkWriter;
@@ -32,7 +34,7 @@
     /// News of the sender.
     Hello(HostHello),
     /// Beats that the sender took for the leader.
-    Beats(Vec<EndpointBeat>),
+    Beats(Vec<EndpointHeartbeat>),
     /// The leader wants reports that the sender's reader is to ask for.
     Ask {
         /// The leader.
@@ -114,7 +116,7 @@
     /// An operator evacuates or readmits a zone.
     Zone { zone: ZoneName, wish: ZoneWish, reply: ReplySender },
     /// An endpoint announces itself.
-    Beat { beat: EndpointBeat, reply: ReplySender },
+    Beat { heartbeat: EndpointHeartbeat, reply: ReplySender },
     /// An endpoint takes no new work.
     Leave { id: IncarnationId, reply: ReplySender },
     /// A probe has ended; `asker` is the leader that wanted it, where that is another host.
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -10,7 +10,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use briartray_fleet::director::{EndpointBeat, ProbeCall};
+use briartray_fleet::director::{EndpointHeartbeat, ProbeCall};
 use briartray_model::names::{IncarnationId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
 
@@ -31,11 +31,16 @@
 impl ControlCore {
     /// Takes a beat for the leader. An endpoint that leaves is sent on: its notice counts only when a
     /// majority holds it.
-    pub(super) fn relay_beat(&mut self, now: TimePoint, beat: EndpointBeat, reply: ReplySender) {
-        if beat.leaving || self.leader().is_none() {
+    pub(super) fn relay_beat(
+        &mut self,
+        now: TimePoint,
+        heartbeat: EndpointHeartbeat,
+        reply: ReplySender,
+    ) {
+        if heartbeat.leaving || self.leader().is_none() {
             return self.redirect(reply);
         }
-        self.relay.hold_beat(now, beat);
+        self.relay.hold_beat(now, heartbeat);
         let _ = reply.send(ControlReply::Done);
     }
 
--- a/crates/gateway/src/control/relay_buffer.rs
+++ b/crates/gateway/src/control/relay_buffer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briartray_fleet::director::EndpointBeat;
+use briartray_fleet::director::EndpointHeartbeat;
 use briartray_model::names::NodeName;
 use briartray_model::{SortedTable, TimePoint};
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RelayBuffer {
     /// Beats for the leader.
-    pub(super) beats: Vec<EndpointBeat>,
+    pub(super) beats: Vec<EndpointHeartbeat>,
     /// Answers to probes, by the host that wanted them.
     pub(super) answers: SortedTable<NodeName, Vec<ProbeAnswer>>,
     /// When they are passed on.
@@ -35,8 +35,8 @@
     }
 
     /// Keeps a beat for the leader.
-    pub(super) fn hold_beat(&mut self, now: TimePoint, beat: EndpointBeat) {
-        self.beats.push(beat);
+    pub(super) fn hold_beat(&mut self, now: TimePoint, heartbeat: EndpointHeartbeat) {
+        self.beats.push(heartbeat);
         self.flush_at.get_or_insert(now.after(GATHER));
     }
 }
--- a/crates/standin/src/group_host/model.rs
+++ b/crates/standin/src/group_host/model.rs
@@ -4,7 +4,8 @@
 
 use briartray_fleet::deployment::EngineModel;
 use briartray_fleet::director::{
-    CloseMethod, EndpointBeat, EndpointOrder, EndpointReport, GroupMark, MarkState, OrderOutcome,
+    CloseMethod, EndpointHeartbeat, EndpointOrder, EndpointReport, GroupMembership, MemberState,
+    OrderOutcome,
 };
 use briartray_model::TimePoint;
 use briartray_model::names::{DomainName, GroupId, IncarnationId, ServiceName, ZoneName};
@@ -37,7 +38,7 @@
     /// All members, the head first.
     pub members: Vec<IncarnationId>,
     /// How far it is.
-    pub state: MarkState,
+    pub state: MemberState,
     /// When the next state follows by itself.
     pub until: Option<TimePoint>,
     /// Whether it loads the weights while it joins; the host keeps them afterwards. One that joins
@@ -132,15 +133,15 @@
         {
             member.until = None;
             member.state = match member.state {
-                MarkState::Joining => {
+                MemberState::Joining => {
                     self.last_model = Some(member.model.clone());
                     if std::mem::take(&mut member.loads) {
                         self.staged = Some(member.model.clone());
                     }
-                    MarkState::Ready
+                    MemberState::Ready
                 }
-                MarkState::Closing => MarkState::Ready,
-                MarkState::Ready => MarkState::Open,
+                MemberState::Closing => MemberState::Ready,
+                MemberState::Ready => MemberState::Open,
                 state => state,
             };
         }
@@ -155,17 +156,17 @@
             mark: self
                 .member
                 .as_ref()
-                .map(|member| GroupMark { group: member.group, state: member.state }),
+                .map(|member| GroupMembership { group: member.group, state: member.state }),
             pace: Some(self.pace),
             busy: Some(self.loading.is_some()),
         }
     }
 
     /// Its next beat, which tells neither its pace nor whether it carries out an order.
-    pub fn beat(&mut self) -> EndpointBeat {
+    pub fn heartbeat(&mut self) -> EndpointHeartbeat {
         self.sequence += 1;
         let report = EndpointReport { pace: None, busy: None, ..self.report() };
-        EndpointBeat {
+        EndpointHeartbeat {
             id: self.place.id.clone(),
             service: self.place.service.clone(),
             address: self.place.address.clone(),
@@ -211,7 +212,7 @@
             group,
             model: model.to_owned(),
             members: members.to_vec(),
-            state: MarkState::Joining,
+            state: MemberState::Joining,
             until: Some(now.after(time)),
             loads,
         });
@@ -227,9 +228,9 @@
             return OrderOutcome::Misfit;
         };
         match member.state {
-            MarkState::Open => OrderOutcome::Holds,
-            MarkState::Ready if member.until.is_some() => OrderOutcome::Holds,
-            MarkState::Ready => {
+            MemberState::Open => OrderOutcome::Holds,
+            MemberState::Ready if member.until.is_some() => OrderOutcome::Holds,
+            MemberState::Ready => {
                 member.until = Some(now.after(engine.formation));
                 OrderOutcome::Begun
             }
@@ -242,18 +243,18 @@
             return OrderOutcome::Misfit;
         };
         match (member.state, method) {
-            (MarkState::Open | MarkState::Closing, CloseMethod::Truncate) => {
-                member.state = MarkState::Ready;
+            (MemberState::Open | MemberState::Closing, CloseMethod::Truncate) => {
+                member.state = MemberState::Ready;
                 member.until = None;
                 OrderOutcome::Begun
             }
-            (MarkState::Open, CloseMethod::Wait) => {
-                member.state = MarkState::Closing;
+            (MemberState::Open, CloseMethod::Wait) => {
+                member.state = MemberState::Closing;
                 member.until = Some(now.after(Duration::from_secs(2)));
                 OrderOutcome::Begun
             }
-            (MarkState::Closing, CloseMethod::Wait) => OrderOutcome::Holds,
-            (MarkState::Ready, _) => {
+            (MemberState::Closing, CloseMethod::Wait) => OrderOutcome::Holds,
+            (MemberState::Ready, _) => {
                 // An opening that is under way is taken back.
                 member.until = None;
                 OrderOutcome::Holds
--- a/crates/standin/src/group_host/server.rs
+++ b/crates/standin/src/group_host/server.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use briartray_fleet::deployment::EngineModel;
-use briartray_fleet::director::{EndpointBeat, MarkState};
+use briartray_fleet::director::{EndpointHeartbeat, MemberState};
 use briartray_http::{AnswerBody, EndpointConnection, HttpServer, ServerLimits};
 use briartray_model::TimePoint;
 use briartray_model::names::{DomainName, IncarnationId, ServiceName, ZoneName};
@@ -253,10 +253,10 @@
         beat_at = Instant::now() + BEAT;
         let cold = state.settings.cold.saturating_sub(state.started.elapsed());
         let cold_ms = u64::try_from(cold.as_millis()).unwrap_or(u64::MAX);
-        let beat = EndpointBeat { cold_ms, ..state.model.borrow_mut().beat() };
+        let heartbeat = EndpointHeartbeat { cold_ms, ..state.model.borrow_mut().heartbeat() };
         for _ in 0..state.settings.control.len() {
             let control = state.settings.control[next % state.settings.control.len()];
-            if send_beat(control, &beat).await {
+            if send_beat(control, &heartbeat).await {
                 break;
             }
             next += 1;
@@ -265,10 +265,10 @@
 }
 
 /// Whether the beat was acknowledged, by `control` or by the host that it names.
-async fn send_beat(control: SocketAddr, beat: &EndpointBeat) -> bool {
+async fn send_beat(control: SocketAddr, heartbeat: &EndpointHeartbeat) -> bool {
     let mut address = control;
     for _ in 0..3 {
-        let request = beat_request(&address.to_string(), beat);
+        let request = beat_request(&address.to_string(), heartbeat);
         let sent = async {
             let exchange = EndpointConnection::open(address).await?.send(request).await?;
             exchange.whole().await
@@ -354,7 +354,7 @@
 fn run_engine(state: &HostState, head: &ServedHead, fatal: bool) -> Response<AnswerBody> {
     let member = state.model.borrow().member.clone();
     let heads = member.as_ref().is_some_and(|member| {
-        member.state == MarkState::Open
+        member.state == MemberState::Open
             && member.members.first() == Some(&state.model.borrow().place.id)
     });
     if !heads {
