--- a/crates/node/src/agent/core.rs
+++ b/crates/node/src/agent/core.rs
@@ -1,4 +1,5 @@
-//! The agent's control thread: the host's promise, the gate, and what control is told.
+//! The agent's control thread: grants leases on this host, keeps the gate of the group that it
+//! leads, and reports to control.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,44 +15,44 @@
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender};
 
 use super::member;
-use super::orders::{EndpointDuty, OrderDesk};
+use super::orders::{DesiredState, OrderHandle};
 use super::session::SessionHandle;
 use super::shared::{AgentShared, GateView};
 
-/// Time between two looks at the leases.
-const TICK: Duration = Duration::from_millis(100);
+/// Longest time between two checks of the leases.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One input of the agent's control thread.
 #[derive(Debug)]
 pub(super) enum AgentInput {
-    /// Control said something.
+    /// Control sent a directive.
     Directive(ControlDirective),
-    /// The session with control was opened anew.
+    /// A new session with control was opened.
     SessionOpened,
-    /// Another agent asks this host for a promise.
-    MemberAsk { request: MemberRequest, writer: LinkWriter },
-    /// A member answered, or did not.
-    LeaseAnswer { lease: LeaseAsked, reply: Option<MemberReply> },
-    /// The endpoint became ready for this fencing number, or for none.
+    /// The first host of a group requests a lease from this host.
+    LeaseRequested { request: MemberRequest, writer: LinkWriter },
+    /// A renewal was answered, or timed out (`None`).
+    RenewalAnswered { renewal: LeaseRenewal, reply: Option<MemberReply> },
+    /// The fencing number for which the endpoint is ready has changed; `None` if it is not ready.
     EndpointReady(Option<FencingNumber>),
-    /// The process ends.
+    /// The role is being stopped.
     Stop,
 }
 
-/// Which lease was asked for, and when.
+/// One request to renew a lease, and the time when it was sent.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct LeaseAsked {
+pub(super) struct LeaseRenewal {
     pub(super) assignment: Arc<GroupAssignment>,
     pub(super) member: HostName,
-    pub(super) sent: TimePoint,
+    pub(super) sent_at: TimePoint,
 }
 
-/// The gate of the group whose first host this is, and the threads that renew its leases.
+/// The group that this host leads: its gate, and the flag that its renewal threads run on.
 struct LeadRole {
     assignment: Arc<GroupAssignment>,
     gate: GroupGate,
     renewing: Arc<AtomicBool>,
-    told_whole: bool,
+    reported_whole: bool,
 }
 
 impl Drop for LeadRole {
@@ -60,24 +61,24 @@
     }
 }
 
-/// What the control thread reaches others through.
+/// The connections and threads that the control thread uses.
 pub(super) struct AgentLinks {
     pub(super) client: LinkClient,
     pub(super) session: SessionHandle,
-    pub(super) orders: OrderDesk,
+    pub(super) orders: OrderHandle,
 }
 
-/// The agent's own state.
+/// State of the agent's control thread.
 pub(super) struct AgentCore {
     shared: Arc<AgentShared>,
     links: AgentLinks,
     inputs: Sender<AgentInput>,
     granter: LeaseGranter,
     lead: Option<LeadRole>,
-    /// Fencing number for which the endpoint has its model and role.
+    /// Fencing number for which the endpoint has loaded its model and taken its role.
     endpoint_ready: Option<FencingNumber>,
-    /// Whether control knows that the group it told to leave has no work left.
-    told_drained: bool,
+    /// Whether it was reported to control that the leaving group has no work left.
+    reported_drained: bool,
 }
 
 impl AgentCore {
@@ -94,14 +95,14 @@
             granter,
             lead: None,
             endpoint_ready: None,
-            told_drained: false,
+            reported_drained: false,
         }
     }
 
-    /// Runs until told to stop.
+    /// Handles inputs until `AgentInput::Stop` arrives or the channel closes.
     pub(super) fn run(mut self, queue: &Receiver<AgentInput>) {
         loop {
-            match queue.recv_timeout(TICK) {
+            match queue.recv_timeout(TICK_INTERVAL) {
                 Ok(AgentInput::Stop) | Err(RecvTimeoutError::Disconnected) => {
                     self.links.session.stop();
                     return;
@@ -109,37 +110,41 @@
                 Ok(input) => self.handle(input),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            self.report_state(false);
+            self.report_group_state(false);
             self.report_drained();
         }
     }
 
     fn handle(&mut self, input: AgentInput) {
         match input {
-            AgentInput::Directive(directive) => self.direct(directive),
+            AgentInput::Directive(directive) => self.handle_directive(directive),
             AgentInput::SessionOpened => {
-                self.report_state(true);
-                self.told_drained = false;
+                self.report_group_state(true);
+                self.reported_drained = false;
+            }
+            AgentInput::LeaseRequested { request, writer } => {
+                self.answer_lease_request(&request, &writer)
+            }
+            AgentInput::RenewalAnswered { renewal, reply } => {
+                self.handle_renewal_answer(&renewal, reply.as_ref())
             }
-            AgentInput::MemberAsk { request, writer } => self.answer_member(&request, &writer),
-            AgentInput::LeaseAnswer { lease, reply } => self.take_answer(&lease, reply.as_ref()),
             AgentInput::EndpointReady(fencing) => self.endpoint_ready = fencing,
             AgentInput::Stop => {}
         }
     }
 
-    fn direct(&mut self, directive: ControlDirective) {
+    fn handle_directive(&mut self, directive: ControlDirective) {
         match directive {
             ControlDirective::Assign(assignment) => self.assign(assignment),
             ControlDirective::Free { fencing } => {
                 if self.granter.unassign(fencing) {
                     self.links.orders.set(None);
-                    self.drop_lead();
+                    self.stop_leading();
                 }
             }
             ControlDirective::Leave { fencing } => {
                 self.shared.set_leaving(fencing, true);
-                self.told_drained = false;
+                self.reported_drained = false;
             }
             ControlDirective::Stay { fencing } => self.shared.set_leaving(fencing, false),
             ControlDirective::MayStop => self.shared.allow_stop(),
@@ -148,29 +153,29 @@
 
     fn assign(&mut self, assignment: GroupAssignment) {
         if !self.granter.assign(assignment.group, assignment.fencing) {
-            log::warn!(group = assignment.group.0; "an old assignment was ignored");
+            log::warn!(group = assignment.group.0; "ignored an outdated assignment");
             return;
         }
-        let duty = EndpointDuty::of(&assignment, &self.shared.settings.host);
-        self.links.orders.set(Some(duty));
+        let desired = DesiredState::of(&assignment, &self.shared.settings.host);
+        self.links.orders.set(Some(desired));
         let leads = assignment.members.first().map(|member| &member.host)
             == Some(&self.shared.settings.host);
-        let known = self.lead.as_ref().is_some_and(|lead| *lead.assignment == assignment);
-        if known {
+        let unchanged = self.lead.as_ref().is_some_and(|lead| *lead.assignment == assignment);
+        if unchanged {
             return;
         }
-        self.drop_lead();
+        self.stop_leading();
         if leads {
-            self.take_lead(Arc::new(assignment));
+            self.start_leading(Arc::new(assignment));
         }
     }
 
-    fn take_lead(&mut self, assignment: Arc<GroupAssignment>) {
-        log::info!(group = assignment.group.0, fencing = assignment.fencing.0; "leading a group");
+    fn start_leading(&mut self, assignment: Arc<GroupAssignment>) {
+        log::info!(group = assignment.group.0, fencing = assignment.fencing.0; "now leads a group");
         let renewing = Arc::new(AtomicBool::new(true));
         let gate = GroupGate::new(&assignment);
         for member in &assignment.members {
-            let renewal = member::RenewalTask {
+            let task = member::RenewalTask {
                 client: self.links.client.clone(),
                 clock: self.shared.clock,
                 assignment: Arc::clone(&assignment),
@@ -178,21 +183,21 @@
                 renewing: Arc::clone(&renewing),
                 inputs: self.inputs.clone(),
             };
-            if let Err(error) = renewal.start() {
-                // Without the renewals the gate stays closed, so nothing is served by mistake.
-                log::error!("cannot renew a lease: {error}; raise the thread limit");
+            if let Err(error) = task.start() {
+                // Without renewals the gate stays closed, so the group serves nothing unsafely.
+                log::error!("cannot start renewing a lease: {error}; raise the thread limit");
             }
         }
-        self.lead = Some(LeadRole { assignment, gate, renewing, told_whole: false });
-        self.publish();
+        self.lead = Some(LeadRole { assignment, gate, renewing, reported_whole: false });
+        self.publish_gate();
     }
 
-    fn drop_lead(&mut self) {
+    fn stop_leading(&mut self) {
         self.lead = None;
-        self.publish();
+        self.publish_gate();
     }
 
-    fn answer_member(&mut self, request: &MemberRequest, writer: &LinkWriter) {
+    fn answer_lease_request(&mut self, request: &MemberRequest, writer: &LinkWriter) {
         let MemberRequest::Lease { group, fencing, nonce } = *request;
         let reply = match self.granter.grant(self.shared.clock.now(), group, fencing) {
             LeaseDecision::Granted(duration) => MemberReply::Granted {
@@ -205,50 +210,51 @@
         let _ = writer.try_send(&reply);
     }
 
-    fn take_answer(&mut self, lease: &LeaseAsked, reply: Option<&MemberReply>) {
+    fn handle_renewal_answer(&mut self, renewal: &LeaseRenewal, reply: Option<&MemberReply>) {
         let Some(lead) = &mut self.lead else { return };
-        if !Arc::ptr_eq(&lead.assignment, &lease.assignment) {
+        if !Arc::ptr_eq(&lead.assignment, &renewal.assignment) {
             return;
         }
         match reply {
             Some(MemberReply::Granted { duration_ms, endpoint_ready: true, .. }) => {
                 let duration = Duration::from_millis(u64::from(*duration_ms));
-                lead.gate.record(&lease.member, lease.sent, duration);
+                lead.gate.record(&renewal.member, renewal.sent_at, duration);
             }
-            Some(_) => lead.gate.revoke(&lease.member),
-            // Silence is not a refusal: the lease that is held runs out by itself.
+            Some(_) => lead.gate.revoke(&renewal.member),
+            // A missing answer is not a refusal: the current lease stays valid until it expires.
             None => {}
         }
-        self.publish();
+        self.publish_gate();
     }
 
-    fn publish(&self) {
+    fn publish_gate(&self) {
         let view = self.lead.as_ref().map_or_else(GateView::default, |lead| GateView {
             group: lead.gate.group(),
             fencing: lead.gate.fencing(),
             whole_until: lead.gate.whole_until(),
             capacity: lead.assignment.capacity,
         });
-        self.shared.publish(view);
+        self.shared.publish_gate(view);
     }
 
-    /// Tells control once when the group that leaves has no work left.
+    /// Reports to control once when the leaving group has no work left.
     fn report_drained(&mut self) {
         let Some(lead) = &self.lead else { return };
         let fencing = lead.gate.fencing();
-        if self.told_drained || !self.shared.is_drained(fencing) {
+        if self.reported_drained || !self.shared.is_drained(fencing) {
             return;
         }
         let host = self.shared.settings.host.clone();
-        self.told_drained = self.links.session.report(&AgentReport::Drained { host, fencing });
+        self.reported_drained = self.links.session.report(&AgentReport::Drained { host, fencing });
     }
 
-    /// Tells control when the group became whole or broke, or when `always` asks for it.
-    fn report_state(&mut self, always: bool) {
+    /// Reports the group's state to control when it has changed, or in any case if `force` is
+    /// set.
+    fn report_group_state(&mut self, force: bool) {
         let now = self.shared.clock.now();
         let Some(lead) = &mut self.lead else { return };
         let whole = lead.gate.is_whole(now);
-        if whole == lead.told_whole && !always {
+        if whole == lead.reported_whole && !force {
             return;
         }
         let report = AgentReport::GroupState {
@@ -258,7 +264,7 @@
             missing: lead.gate.missing(now),
         };
         if self.links.session.report(&report) {
-            lead.told_whole = whole;
+            lead.reported_whole = whole;
         }
     }
 }
--- a/crates/node/src/agent/endpoint.rs
+++ b/crates/node/src/agent/endpoint.rs
@@ -1,4 +1,4 @@
-//! Calling the endpoint over HTTP and reading its answer piece by piece.
+//! Calls the endpoint over HTTP and reads its answer incrementally.
 
 use std::cmp::Ordering;
 use std::io::{BufRead, BufReader, ErrorKind, Read};
@@ -12,64 +12,64 @@
 use serde::Deserialize;
 use snafu::Snafu;
 
-/// Longest line of an event stream, in bytes.
+/// Maximum length of a line in an event stream.
 const MAX_EVENT_BYTES: u64 = 1024 * 1024;
 
-/// Largest answer that is not a stream, in bytes.
+/// Maximum size of an answer that is not a stream.
 const MAX_ANSWER_BYTES: u64 = 8 * 1024 * 1024;
 
-/// Bytes buffered of an answer, besides what the library buffers.
-const BODY_BUFFER: usize = 1024;
+/// Read buffer for an answer, in addition to the buffers of the HTTP library.
+const BODY_BUFFER_BYTES: usize = 1024;
 
-/// Time without any event after which an engine's stream is resumed over a new connection.
-const STREAM_SILENCE: Duration = Duration::from_secs(3);
+/// Time without data after which an engine's stream is resumed over a new connection.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Times a stream is resumed without a new event in between.
+/// How often a stream is resumed without receiving a new event in between.
 const MAX_RESUMES: u32 = 20;
 
-/// Questions without an answer after which an engine is given up on in the middle of a stream.
-const SILENT_RESUMES: u32 = 3;
+/// How many unanswered requests to resume are retried if only this engine can continue the answer.
+const MAX_SILENT_RESUMES: u32 = 3;
 
-/// Time to connect to the endpoint, which runs on the same host.
+/// Timeout for connecting to the endpoint, which runs on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Why a call failed.
 #[derive(Debug, Snafu)]
 pub(super) enum EndpointError {
-    /// No connection; nothing was sent.
+    /// The connection was refused or the request was invalid; nothing was sent.
     #[snafu(display("endpoint cannot be reached: {detail}; check that it runs"))]
     Unreachable { detail: String },
-    /// The call broke; it may have run.
-    #[snafu(display("endpoint call broke: {detail}; look at the endpoint's log"))]
+    /// The call failed after it may have run.
+    #[snafu(display("endpoint call failed: {detail}; check the endpoint's log"))]
     Broken { detail: String },
-    /// The answer names another request.
+    /// The answer has the id of another request.
     #[snafu(display(
-        "the endpoint answered {given:?} where {attempt} was asked; it mixes up its answers, \
+        "the endpoint answered attempt {attempt} with id {given:?}; it mixes up its answers, \
          restart it"
     ))]
     Crossed { attempt: AttemptId, given: String },
 }
 
-/// The part of an engine's answer that names the request.
+/// The part of an engine's answer that identifies the request.
 #[derive(Debug, Deserialize)]
-struct AnswerName {
+struct AnswerId {
     id: Option<String>,
 }
 
-/// The part of an engine's event that tells its place in the stream.
+/// The part of an engine's event that gives its position in the stream.
 #[derive(Debug, Deserialize)]
 struct EventIndex {
     token_index: Option<u64>,
 }
 
-/// Where an event belongs in its stream.
-enum EventPlace {
+/// Position of an event relative to the next one expected.
+enum EventPosition {
     Next,
-    Doubled,
+    Duplicate,
     Gap,
 }
 
-/// An answer whose head has come.
+/// An answer whose status and headers have been received.
 pub(super) struct EndpointAnswer {
     pub(super) status: u16,
     pub(super) content_type: String,
@@ -77,22 +77,22 @@
     attempt: AttemptId,
     deadline: Instant,
     kind: EndpointKind,
-    /// Whether the call may not be repeated.
+    /// Whether the call must not be repeated.
     once: bool,
     length: Option<u64>,
-    /// Whether a cut of the body can be told from its end.
+    /// Whether a truncated body can be distinguished from a complete one.
     framed: bool,
-    /// Index of the next event of a stream.
+    /// Index of the next event expected on the stream.
     next_index: u64,
-    /// Times the stream may still be resumed without a new event in between.
+    /// How often the stream may still be resumed without a new event in between.
     resumes_left: u32,
     body: BufReader<DeadlineReader>,
 }
 
-/// Reads until a deadline.
+/// Reads a body until a deadline.
 ///
-/// An endpoint that sends a byte now and then passes every timeout of a single read and would keep
-/// its thread for ever; the agent would run out of threads.
+/// An endpoint that keeps sending single bytes never exceeds the timeout of one read, so it could
+/// block its thread forever; with many such calls, the agent would run out of threads.
 struct DeadlineReader {
     body: ResponseReader,
     deadline: Instant,
@@ -101,17 +101,17 @@
 impl Read for DeadlineReader {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         if Instant::now() >= self.deadline {
-            return Err(std::io::Error::new(ErrorKind::TimedOut, "the deadline passed"));
+            return Err(std::io::Error::new(ErrorKind::TimedOut, "the deadline has passed"));
         }
         self.body.read(buffer)
     }
 }
 
 fn buffer_body(body: ResponseReader, deadline: Instant) -> BufReader<DeadlineReader> {
-    BufReader::with_capacity(BODY_BUFFER, DeadlineReader { body, deadline })
+    BufReader::with_capacity(BODY_BUFFER_BYTES, DeadlineReader { body, deadline })
 }
 
-/// Calls the endpoint for `order`.
+/// Calls the endpoint for `order` and returns once the head of the answer has been received.
 pub(super) fn call(
     settings: &EndpointSettings,
     order: &DispatchOrder,
@@ -123,13 +123,13 @@
     let resumes = settings.kind == EndpointKind::Engine && order.stream;
     let mut request = RequestBuilder::new(method, url)
         .connect_timeout(CONNECT_TIMEOUT)
-        .read_timeout(if resumes { left.min(STREAM_SILENCE) } else { left })
+        .read_timeout(if resumes { left.min(STREAM_SILENCE_TIMEOUT) } else { left })
         .follow_redirects(false)
         .header("x-request-id", order.attempt.to_string())
         .header("traceparent", order.trace.to_header())
         .header("x-priority", order.priority.to_string());
     if !resumes {
-        // The library keeps a thread for this bound; a stream is bounded by its reader instead.
+        // The library needs a thread for this timeout. `DeadlineReader` limits a stream instead.
         request = request.timeout(left);
     }
     for field in &order.target.headers {
@@ -139,12 +139,12 @@
             request = request.header(name, value);
         }
     }
-    let response = request.bytes(order.body.as_slice()).send().map_err(describe)?;
+    let response = request.bytes(order.body.as_slice()).send().map_err(classify_error)?;
     let (status, headers, body) = response.split();
-    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    // A plain service need not name the request, but when it does it must be this one.
-    if let Some(given) = text("x-request-id")
-        && !names(given, order.attempt)
+    let header_text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    // A plain service need not return the request id, but if it does, the id must match.
+    if let Some(given) = header_text("x-request-id")
+        && !matches_attempt(given, order.attempt)
     {
         return CrossedSnafu { attempt: order.attempt, given }.fail();
     }
@@ -156,10 +156,10 @@
         kind: settings.kind,
         once: order.once,
         status: status.as_u16(),
-        content_type: text("content-type").unwrap_or("application/octet-stream").to_owned(),
-        length: text("content-length").and_then(|length| length.parse().ok()),
-        framed: text("content-length").is_some()
-            || text("transfer-encoding").is_some()
+        content_type: header_text("content-type").unwrap_or("application/octet-stream").to_owned(),
+        length: header_text("content-length").and_then(|length| length.parse().ok()),
+        framed: header_text("content-length").is_some()
+            || header_text("transfer-encoding").is_some()
             || matches!(status.as_u16(), 204 | 304),
         next_index: 0,
         resumes_left: MAX_RESUMES,
@@ -167,23 +167,23 @@
     })
 }
 
-/// Tells the engine that nobody waits for `attempt` any more.
+/// Cancels `attempt` at an engine, because its answer is no longer needed.
 pub(super) fn cancel(settings: &EndpointSettings, attempt: AttemptId) {
     if settings.kind != EndpointKind::Engine {
         return;
     }
     let url = format!("http://{}/requests/{attempt}/cancel", settings.address);
-    let told = attohttpc::post(url)
+    let result = attohttpc::post(url)
         .connect_timeout(CONNECT_TIMEOUT)
         .timeout(CONNECT_TIMEOUT)
         .header("content-length", "0")
         .send();
-    if let Err(error) = told {
-        log::debug!("attempt {attempt} was not cancelled: {error}");
+    if let Err(error) = result {
+        log::debug!("cannot cancel attempt {attempt} at the engine: {error}");
     }
 }
 
-fn describe(error: attohttpc::Error) -> EndpointError {
+fn classify_error(error: attohttpc::Error) -> EndpointError {
     let refused = match error.kind() {
         attohttpc::ErrorKind::Io(cause) => cause.kind() == std::io::ErrorKind::ConnectionRefused,
         _ => false,
@@ -200,19 +200,19 @@
 
     /// The data of the next event; `None` at the stream's end mark.
     ///
-    /// An engine that cuts a stream or goes silent goes on generating, so the stream is resumed
-    /// from the first event that is missing.
+    /// An engine whose stream is cut or goes silent continues to generate, so the stream is
+    /// resumed from the first missing event.
     pub(super) fn next_event(&mut self) -> Result<Option<Vec<u8>>, EndpointError> {
         loop {
             match self.read_event() {
-                Ok(Some(data)) => match self.place(&data)? {
-                    EventPlace::Next => {
+                Ok(Some(data)) => match self.position_of(&data)? {
+                    EventPosition::Next => {
                         self.next_index += 1;
                         self.resumes_left = MAX_RESUMES;
                         return Ok(Some(data));
                     }
-                    EventPlace::Doubled => {}
-                    EventPlace::Gap => self.resume("the stream has a gap".to_owned())?,
+                    EventPosition::Duplicate => {}
+                    EventPosition::Gap => self.resume("the stream has a gap".to_owned())?,
                 },
                 Ok(None) => return Ok(None),
                 Err(detail) => self.resume(detail)?,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Reads one event as it comes.
+    /// Reads the next event of the current connection, whatever its index.
     fn read_event(&mut self) -> Result<Option<Vec<u8>>, String> {
         loop {
             let mut line = Vec::new();
@@ -229,7 +229,7 @@
                 .read_until(b'\n', &mut line)
                 .map_err(|error| error.to_string())?;
             if read == 0 || !line.ends_with(b"\n") {
-                // A stream that stops without its end mark was cut; it must not look whole.
+                // A stream without its end mark was cut and must not be taken for complete.
                 return Err("the stream ended without its end mark".to_owned());
             }
             let text = line.trim_ascii_end();
@@ -240,55 +240,57 @@
         }
     }
 
-    /// Where an event belongs; engines that number their events send some of them twice.
-    fn place(&self, data: &[u8]) -> Result<EventPlace, EndpointError> {
-        self.check_name(data)?;
+    /// Position of an event; engines that number their events send some of them twice.
+    fn position_of(&self, data: &[u8]) -> Result<EventPosition, EndpointError> {
+        self.check_id(data)?;
         let index = serde_json::from_slice::<EventIndex>(data).ok().and_then(|e| e.token_index);
         Ok(match index.unwrap_or(self.next_index).cmp(&self.next_index) {
-            Ordering::Less => EventPlace::Doubled,
-            Ordering::Equal => EventPlace::Next,
-            Ordering::Greater => EventPlace::Gap,
+            Ordering::Less => EventPosition::Duplicate,
+            Ordering::Equal => EventPosition::Next,
+            Ordering::Greater => EventPosition::Gap,
         })
     }
 
-    /// Asks the engine for the rest of the stream over a new connection.
+    /// Requests the rest of the stream from the engine over a new connection.
     ///
-    /// An engine that does not answer may stand still for a moment. When the caller has seen a
-    /// part of the answer, or the call may not be repeated, only this engine can go on with it, so
-    /// it is asked again; otherwise another replica does better.
+    /// An engine that does not answer may only be paused for a moment. If the caller has received
+    /// a part of the answer, or the call must not be repeated, only this engine can continue, so
+    /// the request is retried. Otherwise the attempt fails and another replica can be tried.
     fn resume(&mut self, detail: String) -> Result<(), EndpointError> {
-        let only_here = self.once || self.next_index > 0;
-        let mut silent_left = if only_here { SILENT_RESUMES } else { 0 };
+        let engine_required = self.once || self.next_index > 0;
+        let mut silent_retries_left = if engine_required { MAX_SILENT_RESUMES } else { 0 };
         loop {
             let left = self.deadline.saturating_duration_since(Instant::now());
             if self.kind != EndpointKind::Engine || self.resumes_left == 0 || left.is_zero() {
                 return Err(EndpointError::Broken { detail });
             }
             self.resumes_left -= 1;
-            match self.ask_rest(left) {
+            match self.request_rest(left) {
                 Ok(response) if response.is_success() => {
                     let (_, _, body) = response.split();
                     self.body = buffer_body(body, self.deadline);
                     return Ok(());
                 }
-                Err(error) if silent_left > 0 && is_silence(&error) => silent_left -= 1,
+                Err(error) if silent_retries_left > 0 && is_timeout(&error) => {
+                    silent_retries_left -= 1
+                }
                 _ => return Err(EndpointError::Broken { detail }),
             }
         }
     }
 
-    fn ask_rest(&self, left: Duration) -> attohttpc::Result<attohttpc::Response> {
+    fn request_rest(&self, left: Duration) -> attohttpc::Result<attohttpc::Response> {
         let (address, attempt, from) = (self.address, self.attempt, self.next_index);
         attohttpc::get(format!("http://{address}/requests/{attempt}?from={from}"))
             .connect_timeout(CONNECT_TIMEOUT)
-            .read_timeout(left.min(STREAM_SILENCE))
+            .read_timeout(left.min(STREAM_SILENCE_TIMEOUT))
             .send()
     }
 
-    /// The whole body.
-    pub(super) fn whole_body(&mut self) -> Result<Vec<u8>, EndpointError> {
+    /// Reads the whole body of an answer that is not a stream.
+    pub(super) fn read_body(&mut self) -> Result<Vec<u8>, EndpointError> {
         if !self.framed {
-            // Such a body ends with the connection, and so does one that was cut.
+            // Such a body ends when the connection closes, which a truncated body does as well.
             let detail = "the body has neither a length nor chunks".to_owned();
             return Err(EndpointError::Broken { detail });
         }
@@ -298,33 +300,33 @@
             .read_to_end(&mut body)
             .map_err(|error| EndpointError::Broken { detail: error.to_string() })?;
         if self.length.is_some_and(|length| length != body.len() as u64) {
-            let detail = "the body is cut, or over the limit for answers".to_owned();
+            let detail = "the body is truncated or exceeds the size limit".to_owned();
             return Err(EndpointError::Broken { detail });
         }
-        self.check_name(&body)?;
+        self.check_id(&body)?;
         Ok(body)
     }
 
-    /// Refuses a piece of an engine's answer that belongs to another request.
+    /// Rejects a piece of an engine's answer that belongs to another request.
     ///
-    /// An engine that batches may hand a late or mixed-up piece to the wrong connection. The
-    /// caller would read somebody else's text as an answer, with nothing to show for it but the
-    /// id inside.
-    fn check_name(&self, piece: &[u8]) -> Result<(), EndpointError> {
+    /// An engine that batches may send a late or misrouted piece on the wrong connection. The
+    /// caller would then receive the answer of another request, and only the id in the piece
+    /// reveals the error.
+    fn check_id(&self, piece: &[u8]) -> Result<(), EndpointError> {
         if self.kind != EndpointKind::Engine || self.status != 200 {
             return Ok(());
         }
-        let named = serde_json::from_slice::<AnswerName>(piece).ok().and_then(|name| name.id);
-        let given = named.unwrap_or_default();
-        if names(&given, self.attempt) {
+        let id = serde_json::from_slice::<AnswerId>(piece).ok().and_then(|answer| answer.id);
+        let given = id.unwrap_or_default();
+        if matches_attempt(&given, self.attempt) {
             return Ok(());
         }
         CrossedSnafu { attempt: self.attempt, given }.fail()
     }
 }
 
-/// Whether the engine took the connection and did not answer.
-fn is_silence(error: &attohttpc::Error) -> bool {
+/// Whether the engine did not answer in time.
+fn is_timeout(error: &attohttpc::Error) -> bool {
     match error.kind() {
         attohttpc::ErrorKind::Io(cause) => {
             matches!(cause.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock)
@@ -333,7 +335,7 @@
     }
 }
 
-/// Whether `given` names `attempt`; engines may put a prefix of their own before it.
-fn names(given: &str, attempt: AttemptId) -> bool {
+/// Whether the id `given` is that of `attempt`; engines may add a prefix of their own.
+fn matches_attempt(given: &str, attempt: AttemptId) -> bool {
     given.ends_with(&attempt.to_string())
 }
--- a/crates/node/src/agent/member.rs
+++ b/crates/node/src/agent/member.rs
@@ -1,4 +1,4 @@
-//! Leases between agents: the first host asks, the member answers.
+//! Leases between the agents of a group: the first host requests them, the members grant them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,26 +11,29 @@
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
 use crossbeam::channel::Sender;
 
-use super::core::{AgentInput, LeaseAsked};
+use super::core::{AgentInput, LeaseRenewal};
 use crate::ClockReader;
 
-/// How long one answer is waited for. A path that went silent must be replaced and the lease be
-/// renewed over a new one before the lease that is held runs out.
-const ANSWER_WAIT: Duration = Duration::from_millis(LEASE_DURATION.as_millis() as u64 / 4);
+/// Timeout of one answer.
+///
+/// After a connection has failed silently, there must be time to open a new one and renew over it
+/// before the current lease expires.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(LEASE_DURATION.as_millis() as u64 / 4);
 
-/// Age of a connection up to which it counts as new after an answer did not come.
-const FRESH_CONNECTION: Duration = Duration::from_millis(ANSWER_WAIT.as_millis() as u64 / 2);
+/// Maximum age of a connection that may be reused after a missed answer.
+const MAX_REUSED_CONNECTION_AGE: Duration =
+    Duration::from_millis(ANSWER_TIMEOUT.as_millis() as u64 / 2);
 
-/// How long a served stream may stay quiet before it is looked at again.
-const READ_WAIT: Duration = Duration::from_secs(60);
+/// Timeout of one read from a served stream, after which the read is repeated.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Passes requests for this host's promise to the control thread.
+/// Forwards requests for this host's lease to the control thread.
 pub(super) fn serve(stream: &LinkStream, inputs: &Sender<AgentInput>) {
     loop {
-        match stream.reader.receive(READ_WAIT) {
+        match stream.reader.receive(READ_TIMEOUT) {
             Ok(request) => {
-                let ask = AgentInput::MemberAsk { request, writer: stream.writer.clone() };
-                if inputs.send(ask).is_err() {
+                let input = AgentInput::LeaseRequested { request, writer: stream.writer.clone() };
+                if inputs.send(input).is_err() {
                     return;
                 }
             }
@@ -40,7 +43,7 @@
     }
 }
 
-/// Renews the lease of one member until told to stop.
+/// Renews the lease of one member until `renewing` is cleared.
 #[derive(Debug)]
 pub(super) struct RenewalTask {
     pub(super) client: LinkClient,
@@ -52,7 +55,7 @@
 }
 
 impl RenewalTask {
-    /// Starts the renewals on a thread of their own.
+    /// Starts renewing on a new thread.
     pub(super) fn start(self) -> std::io::Result<()> {
         spawn_worker("lease", WORKER_STACK_BYTES, move || self.run()).map(drop)
     }
@@ -60,28 +63,29 @@
     fn run(self) {
         let mut nonce = LeaseNonce::default();
         let mut stream: Option<(LinkWriter, LinkReader)> = None;
-        let mut missed = 0_u32;
+        let mut missed_answers = 0_u32;
         while self.renewing.load(Ordering::Relaxed) {
             nonce = nonce.next();
-            let open = stream.take().unwrap_or_else(|| self.open(missed > 0));
-            let sent = self.clock.now();
-            let reply = self.ask(&open, nonce);
+            let open = stream.take().unwrap_or_else(|| self.open(missed_answers > 0));
+            let sent_at = self.clock.now();
+            let reply = self.request_lease(&open, nonce);
             if reply.is_some() {
-                missed = 0;
+                missed_answers = 0;
                 stream = Some(open);
             } else {
-                missed += 1;
+                missed_answers += 1;
             }
-            let lease = LeaseAsked {
+            let renewal = LeaseRenewal {
                 assignment: Arc::clone(&self.assignment),
                 member: self.member.host.clone(),
-                sent,
+                sent_at,
             };
-            if self.inputs.send(AgentInput::LeaseAnswer { lease, reply }).is_err() {
+            if self.inputs.send(AgentInput::RenewalAnswered { renewal, reply }).is_err() {
                 return;
             }
-            // After the first miss there is no time to lose; a member that is down is not pressed.
-            if missed != 1 {
+            // Retries at once after the first missed answer, since the lease expires soon; after
+            // more of them the member is probably down and is retried at the usual interval.
+            if missed_answers != 1 {
                 std::thread::sleep(RENEW_INTERVAL);
             }
         }
@@ -89,14 +93,18 @@
 
     fn open(&self, after_miss: bool) -> (LinkWriter, LinkReader) {
         let (address, kind) = (self.member.link, CallKind::Member);
-        match Instant::now().checked_sub(FRESH_CONNECTION).filter(|_| after_miss) {
+        match Instant::now().checked_sub(MAX_REUSED_CONNECTION_AGE).filter(|_| after_miss) {
             Some(since) => self.client.open_since(address, kind, since),
             None => self.client.open(address, kind),
         }
     }
 
-    /// Asks once; `None` when no answer to this very request came.
-    fn ask(&self, stream: &(LinkWriter, LinkReader), nonce: LeaseNonce) -> Option<MemberReply> {
+    /// Sends one request; `None` when no answer to it arrived in time.
+    fn request_lease(
+        &self,
+        stream: &(LinkWriter, LinkReader),
+        nonce: LeaseNonce,
+    ) -> Option<MemberReply> {
         let (writer, reader) = stream;
         let request = MemberRequest::Lease {
             group: self.assignment.group,
@@ -104,10 +112,10 @@
             nonce,
         };
         writer.send(&request).ok()?;
-        let reply: MemberReply = reader.receive(ANSWER_WAIT).ok()?;
-        let answered = match &reply {
+        let reply: MemberReply = reader.receive(ANSWER_TIMEOUT).ok()?;
+        let answered_nonce = match &reply {
             MemberReply::Granted { nonce, .. } | MemberReply::Refused { nonce, .. } => *nonce,
         };
-        (answered == nonce).then_some(reply)
+        (answered_nonce == nonce).then_some(reply)
     }
 }
--- a/crates/node/src/agent/mod.rs
+++ b/crates/node/src/agent/mod.rs
@@ -1,18 +1,19 @@
-//! The agent role: one small process beside one endpoint.
+//! The agent role: a small process that runs next to one endpoint.
 //!
-//! The control thread owns the host's promise and the gate of its group; traffic threads read the
-//! gate's state as a snapshot that is swapped as a whole.
+//! The agent's control thread owns the leases that this host grants and, on the first host of a
+//! group, the gate of that group. Threads that serve requests read the gate's state from a
+//! snapshot that is replaced atomically.
 
 mod core;
-mod crash_watch;
+mod crash_detector;
 mod endpoint;
 mod member;
 mod orders;
-mod pace;
 mod running;
 mod serve;
 mod session;
 mod shared;
+mod step_time;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,19 +31,19 @@
 use crate::DaemonError;
 use crate::trace::TraceHub;
 
-/// Inputs that may wait for the control thread.
-const INPUT_QUEUE: usize = 1024;
+/// Capacity of the control thread's input channel.
+const INPUT_QUEUE_CAPACITY: usize = 1024;
 
-/// Time to connect to another process.
+/// Timeout for connecting to another process.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Time between two looks at the work that is left.
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+/// Interval at which `AgentNode::drain` checks whether work is left.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a host that is leaving waits for a control host to answer at all.
-const ALONE_WAIT: Duration = Duration::from_secs(10);
+/// How long a leaving host waits for a session with any control host.
+const NO_CONTROL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A running agent role.
+/// Handle of a running agent role.
 pub struct AgentNode {
     link: LinkServer,
     shared: Arc<AgentShared>,
@@ -51,18 +52,18 @@
 }
 
 impl AgentNode {
-    /// Starts the agent beside its endpoint.
+    /// Starts the link port and the threads of the agent.
     ///
     /// # Errors
-    /// A `DaemonError` when its port cannot be used.
+    /// A `DaemonError` when the port cannot be bound or a thread cannot be started.
     pub fn start(
         settings: &DaemonSettings,
         role: &AgentSettings,
         traces: &TraceHub,
     ) -> Result<Self, DaemonError> {
         let shared = Arc::new(AgentShared::new(role, traces));
-        pace::start(&shared)?;
-        let (inputs, queue) = bounded(INPUT_QUEUE);
+        step_time::start(&shared)?;
+        let (inputs, queue) = bounded(INPUT_QUEUE_CAPACITY);
         let handler = {
             let (shared, inputs) = (Arc::clone(&shared), inputs.clone());
             Box::new(move |stream| accept(stream, &shared, &inputs))
@@ -76,7 +77,7 @@
             },
         )?;
         let announcement =
-            announce(settings, role, &shared, role.announce.unwrap_or(link.address()));
+            initial_announcement(settings, role, &shared, role.announce.unwrap_or(link.address()));
         let peers = settings.cluster.control.iter().map(|peer| peer.link).collect();
         let session = session::start(client.clone(), peers, announcement, inputs.clone())?;
         let orders = orders::start(role.endpoint.clone(), inputs.clone())?;
@@ -86,31 +87,31 @@
         Ok(Self { link, shared, session, inputs })
     }
 
-    /// Where other processes connect.
+    /// Address of the link port, to which entries and other agents connect.
     pub fn link_address(&self) -> SocketAddr {
         self.link.address()
     }
 
-    /// Leaves as by a planned stop: the group takes no new work and finishes what runs. Returns
-    /// when the host may be shut down, or after `limit`; `false` when work was left.
+    /// Leaves as in a planned stop: the group takes no new work and finishes what is running.
     ///
-    /// A host that leads no group still holds its group together, so it stays until control says
-    /// that the group has no work left.
+    /// Returns `true` as soon as the host may be shut down, or `false` after `limit`. A host that
+    /// does not lead its group is still needed by it, so it waits until control reports that it
+    /// may stop.
     pub fn drain(&self, limit: Duration) -> bool {
         let started = Instant::now();
-        self.session.leave();
-        self.shared.leave_group();
+        self.session.announce_leaving();
+        self.shared.begin_leaving();
         while started.elapsed() < limit {
-            let alone = !self.session.is_open() && started.elapsed() > ALONE_WAIT;
-            if self.shared.is_idle() && (self.shared.may_stop() || alone) {
+            let no_control = !self.session.is_open() && started.elapsed() > NO_CONTROL_TIMEOUT;
+            if self.shared.is_idle() && (self.shared.may_stop() || no_control) {
                 return true;
             }
-            std::thread::sleep(DRAIN_CHECK);
+            std::thread::sleep(DRAIN_CHECK_INTERVAL);
         }
         false
     }
 
-    /// Stops the role.
+    /// Stops taking new work, ends the control thread and closes the link port.
     pub fn stop(&self) {
         self.shared.close();
         let _ = self.inputs.send(AgentInput::Stop);
@@ -118,7 +119,7 @@
     }
 }
 
-fn announce(
+fn initial_announcement(
     settings: &DaemonSettings,
     role: &AgentSettings,
     shared: &AgentShared,
@@ -143,7 +144,7 @@
     let run = move || match stream.kind {
         CallKind::Dispatch => serve::serve(&stream, &shared),
         CallKind::Member => member::serve(&stream, &inputs),
-        kind => log::warn!("a {kind} call came to an agent and was closed"),
+        kind => log::warn!("closed a {kind} stream, which an agent does not serve"),
     };
     if let Err(error) = spawn_worker("agent-stream", WORKER_STACK_BYTES, run) {
         log::error!("cannot serve a stream: {error}; raise the thread limit");
--- a/crates/node/src/agent/orders.rs
+++ b/crates/node/src/agent/orders.rs
@@ -1,9 +1,8 @@
-//! Orders to the endpoint: one thread that sends them one after the other and looks whether the
-//! endpoint is there.
+//! Orders to the endpoint, sent by one thread that also probes whether the endpoint is up.
 //!
-//! Some engines refuse an order with an old fencing number, others carry out whatever comes. For
-//! the latter this thread is the only way in: it sends one order at a time, always the newest that
-//! control gave, and never one that is older than what it sent before.
+//! Some engines refuse orders with an outdated fencing number, others execute every order. The
+//! latter are safe because only this thread sends orders to them: it sends one at a time, always
+//! according to the latest assignment by control, and never an older one than before.
 
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,25 +17,25 @@
 
 use super::core::AgentInput;
 
-/// Time between two looks at the endpoint.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the endpoint is probed once its state is as desired.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time to connect to the endpoint, which runs on the same host.
+/// Timeout for connecting to the endpoint, which runs on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an order may take; loading a model from a busy weight store takes long.
+/// Timeout of an order; loading a model from a busy weight store can take many minutes.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(900);
 
-/// What the endpoint is to be: a member of a group, at a fencing number.
+/// Desired state of the endpoint: its model, and its role in a group at a fencing number.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct EndpointDuty {
+pub(super) struct DesiredState {
     fencing: FencingNumber,
     service: ServiceName,
     role: String,
 }
 
-impl EndpointDuty {
-    /// The duty of `host` in `assignment`.
+impl DesiredState {
+    /// The desired state of the endpoint of `host` under `assignment`.
     pub(super) fn of(assignment: &GroupAssignment, host: &HostName) -> Self {
         let position = assignment.members.iter().position(|member| member.host == *host);
         let (rank, size) = (position.unwrap_or_default(), assignment.members.len());
@@ -48,102 +47,105 @@
     }
 }
 
-/// Hands duties to the thread; only the newest counts.
+/// Passes the desired state to the thread; a new state replaces the previous one.
 #[derive(Debug, Clone)]
-pub(super) struct OrderDesk {
-    duty: Arc<Mutex<Option<EndpointDuty>>>,
+pub(super) struct OrderHandle {
+    desired: Arc<Mutex<Option<DesiredState>>>,
     wake: Sender<()>,
 }
 
-impl OrderDesk {
-    /// Sets what the endpoint is to be; `None` when its host is free.
-    pub(super) fn set(&self, duty: Option<EndpointDuty>) {
-        *self.duty.lock().unwrap_or_else(PoisonError::into_inner) = duty;
-        // A full channel means that the thread is about to look anyway.
+impl OrderHandle {
+    /// Sets the desired state; `None` when the host belongs to no group.
+    pub(super) fn set(&self, desired: Option<DesiredState>) {
+        *self.desired.lock().unwrap_or_else(PoisonError::into_inner) = desired;
+        // If the channel is full, the thread has a pending wake-up and will read the new state.
         let _ = self.wake.try_send(());
     }
 }
 
-/// Starts the thread; it tells the control thread for which fencing number the endpoint is ready.
+/// Starts the thread, which notifies the control thread when the fencing number changes for which
+/// the endpoint is ready.
 pub(super) fn start(
     endpoint: EndpointSettings,
     inputs: Sender<AgentInput>,
-) -> std::io::Result<OrderDesk> {
-    let (wake, woken) = bounded(1);
-    let duty = Arc::new(Mutex::new(None));
-    let keeper = EndpointKeeper {
+) -> std::io::Result<OrderHandle> {
+    let (wake, wakeups) = bounded(1);
+    let desired = Arc::new(Mutex::new(None));
+    let reconciler = EndpointReconciler {
         endpoint,
-        duty: Arc::clone(&duty),
+        desired: Arc::clone(&desired),
         inputs,
-        loaded: None,
+        loaded_service: None,
         role: None,
-        told: None,
+        reported: None,
     };
-    spawn_worker("orders", WORKER_STACK_BYTES, move || keeper.run(&woken))?;
-    Ok(OrderDesk { duty, wake })
+    spawn_worker("orders", WORKER_STACK_BYTES, move || reconciler.run(&wakeups))?;
+    Ok(OrderHandle { desired, wake })
 }
 
-/// What the thread knows of its endpoint.
-struct EndpointKeeper {
+/// Brings the endpoint into its desired state and keeps track of its actual state.
+struct EndpointReconciler {
     endpoint: EndpointSettings,
-    duty: Arc<Mutex<Option<EndpointDuty>>>,
+    desired: Arc<Mutex<Option<DesiredState>>>,
     inputs: Sender<AgentInput>,
-    /// Service whose model is loaded.
-    loaded: Option<ServiceName>,
-    /// Fencing number of the role that the endpoint has.
+    /// Service whose model the endpoint has loaded.
+    loaded_service: Option<ServiceName>,
+    /// Fencing number of the endpoint's current role.
     role: Option<FencingNumber>,
-    told: Option<FencingNumber>,
+    /// Fencing number last sent to the control thread.
+    reported: Option<FencingNumber>,
 }
 
-impl EndpointKeeper {
-    fn run(mut self, woken: &Receiver<()>) {
+impl EndpointReconciler {
+    fn run(mut self, wakeups: &Receiver<()>) {
         loop {
-            let ready = self.look();
-            if ready != self.told {
-                self.told = ready;
+            let ready = self.reconcile();
+            if ready != self.reported {
+                self.reported = ready;
                 if self.inputs.send(AgentInput::EndpointReady(ready)).is_err() {
                     return;
                 }
             }
-            let settled = self.current().map(|duty| duty.fencing) == ready;
-            let wait = if settled { LOOK_INTERVAL } else { LOOK_INTERVAL / 4 };
-            if woken.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
+            let is_reconciled = self.desired_state().map(|desired| desired.fencing) == ready;
+            let wait = if is_reconciled { PROBE_INTERVAL } else { PROBE_INTERVAL / 4 };
+            if wakeups.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
                 return;
             }
         }
     }
 
-    fn current(&self) -> Option<EndpointDuty> {
-        self.duty.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    fn desired_state(&self) -> Option<DesiredState> {
+        self.desired.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The fencing number for which the endpoint is ready now, after orders that were missing.
-    fn look(&mut self) -> Option<FencingNumber> {
+    /// Probes the endpoint and sends the orders that are missing. Returns the fencing number for
+    /// which the endpoint is ready.
+    fn reconcile(&mut self) -> Option<FencingNumber> {
         if TcpStream::connect_timeout(&self.endpoint.address, CONNECT_TIMEOUT).is_err() {
-            // An endpoint that comes back has nothing loaded.
-            self.loaded = None;
+            // An endpoint that was down has restarted and lost its model and role.
+            self.loaded_service = None;
             self.role = None;
             return None;
         }
-        let duty = self.current()?;
+        let desired = self.desired_state()?;
         if self.endpoint.kind == EndpointKind::Plain {
-            return Some(duty.fencing);
+            return Some(desired.fencing);
         }
-        if self.loaded.as_ref() != Some(&duty.service) {
-            self.loaded = None;
-            self.order("load_model", duty.service.as_str(), duty.fencing)?;
-            self.loaded = Some(duty.service.clone());
+        if self.loaded_service.as_ref() != Some(&desired.service) {
+            self.loaded_service = None;
+            self.send_order("load_model", desired.service.as_str(), desired.fencing)?;
+            self.loaded_service = Some(desired.service.clone());
         }
-        if self.role != Some(duty.fencing) {
-            self.order("set_role", &duty.role, duty.fencing)?;
-            self.role = Some(duty.fencing);
+        if self.role != Some(desired.fencing) {
+            self.send_order("set_role", &desired.role, desired.fencing)?;
+            self.role = Some(desired.fencing);
         }
-        // The duty may have changed while an order ran; then this one counts for nothing.
-        (self.current().as_ref() == Some(&duty)).then_some(duty.fencing)
+        // If the desired state has changed while an order ran, the endpoint is not ready for it.
+        (self.desired_state().as_ref() == Some(&desired)).then_some(desired.fencing)
     }
 
-    /// Sends one order; `None` when it was not carried out for certain.
-    fn order(&self, kind: &str, name: &str, fencing: FencingNumber) -> Option<()> {
+    /// Sends one order; `None` unless the endpoint confirmed that it was executed.
+    fn send_order(&self, kind: &str, name: &str, fencing: FencingNumber) -> Option<()> {
         let url = format!("http://{}/orders", self.endpoint.address);
         let body = json!({ "kind": kind, "name": name, "fencing": fencing });
         let sent = attohttpc::post(url)
@@ -155,11 +157,14 @@
             Ok(response) if response.is_success() => Some(()),
             Ok(response) => {
                 let status = response.status().as_u16();
-                log::warn!(kind = kind, fencing = fencing.0, status = status; "order refused");
+                log::warn!(
+                    kind = kind, fencing = fencing.0, status = status;
+                    "endpoint refused an order; trying again"
+                );
                 None
             }
             Err(error) => {
-                log::warn!(kind = kind, fencing = fencing.0; "order failed: {error}");
+                log::warn!(kind = kind, fencing = fencing.0; "order failed; trying again: {error}");
                 None
             }
         }
--- a/crates/node/src/agent/running.rs
+++ b/crates/node/src/agent/running.rs
@@ -1,5 +1,5 @@
-//! One attempt while this agent holds it: the endpoint's side fills its buffer, the entry's stream
-//! empties it, and either may outlive the other for a while.
+//! An attempt that this agent holds. The endpoint call fills its buffer and the entry's stream
+//! reads from it; either can end some time before the other.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -10,17 +10,17 @@
 
 use crate::ClockReader;
 
-/// How long an attempt goes on, and its answer is held, without a stream to an entry.
+/// How long an attempt keeps running, and its answer is held, without a stream to an entry.
 pub(super) const RESUME_GRACE: Duration = Duration::from_secs(10);
 
-/// Bytes of chunks held for one attempt. It covers the h2 window and the queues of one stream, so
-/// whatever was sent and did not arrive is still here.
+/// Size of one attempt's buffer. It covers the HTTP/2 window and the queues of one stream, so all
+/// chunks that were sent but did not arrive are still in the buffer.
 const BUFFER_BYTES: usize = 512 * 1024;
 
-/// Time between two looks at a buffer that does not change.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait for a change of the buffer.
+const MAX_CHANGE_WAIT: Duration = Duration::from_millis(500);
 
-/// An attempt and its answer so far.
+/// An attempt and the answer received for it so far.
 #[derive(Debug)]
 pub(super) struct RunningAttempt {
     pub(super) order: DispatchOrder,
@@ -42,14 +42,15 @@
         }
     }
 
-    /// The buffer, to change; whoever waits looks again.
-    pub(super) fn change<T>(&self, change: impl FnOnce(&mut AnswerBuffer) -> T) -> T {
+    /// Applies `change` to the buffer and wakes all waiting threads.
+    pub(super) fn update<T>(&self, change: impl FnOnce(&mut AnswerBuffer) -> T) -> T {
         let changed = change(&mut self.lock());
         self.changed.notify_all();
         changed
     }
 
-    /// Pushes a chunk, waiting for room; `false` when nobody wants the rest any more.
+    /// Pushes a chunk, waiting while the buffer is full. Returns `false` when the attempt is
+    /// cancelled or abandoned.
     pub(super) fn push(&self, data: Vec<u8>) -> bool {
         let mut buffer = self.lock();
         loop {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The next item for `reader`; `Nothing` after a while without a change.
+    /// The next item for `reader`; `BufferItem::Nothing` when none arrives within one wait.
     pub(super) fn next(&self, reader: &mut BufferReader) -> BufferItem {
         let mut buffer = self.lock();
         let first = buffer.take(reader);
@@ -79,17 +80,17 @@
         item
     }
 
-    /// Notes that `reader` lost its stream.
+    /// Records that the stream of `reader` has closed.
     pub(super) fn detach(&self, reader: &BufferReader) {
-        self.change(|buffer| buffer.detach(self.clock.now(), reader));
+        self.update(|buffer| buffer.detach(self.clock.now(), reader));
     }
 
-    /// Stores the end.
+    /// Stores the end of the answer.
     pub(super) fn finish(&self, end: AnswerEnd) {
-        self.change(|buffer| buffer.finish(end));
+        self.update(|buffer| buffer.finish(end));
     }
 
-    /// Stops the attempt; its caller has gone.
+    /// Cancels the attempt, because its caller has disconnected.
     pub(super) fn cancel(&self) {
         self.cancelled.store(true, Ordering::SeqCst);
         self.changed.notify_all();
@@ -99,13 +100,13 @@
         self.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Whether the answer may be dropped: it ended, and no entry came back for it.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether the answer may be dropped: it has ended, and the attempt is cancelled or abandoned.
+    pub(super) fn can_discard(&self) -> bool {
         let buffer = self.lock();
         buffer.end().is_some() && (self.is_abandoned(&buffer) || self.is_cancelled())
     }
 
-    /// Whether nobody waits for the answer any more.
+    /// Whether the attempt is cancelled or abandoned, so that its answer is no longer needed.
     pub(super) fn is_unwanted(&self) -> bool {
         self.is_cancelled() || self.is_abandoned(&self.lock())
     }
@@ -119,7 +120,7 @@
     }
 
     fn wait<'a>(&self, buffer: MutexGuard<'a, AnswerBuffer>) -> MutexGuard<'a, AnswerBuffer> {
-        let waited = self.changed.wait_timeout(buffer, LOOK_INTERVAL);
+        let waited = self.changed.wait_timeout(buffer, MAX_CHANGE_WAIT);
         waited.unwrap_or_else(PoisonError::into_inner).0
     }
 }
--- a/crates/node/src/agent/serve.rs
+++ b/crates/node/src/agent/serve.rs
@@ -1,4 +1,4 @@
-//! Serving entries: one stream for each question, one endpoint call for each attempt.
+//! Serves entries, with one stream per request of an entry and one endpoint call per attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,40 +18,40 @@
 use super::running::{RESUME_GRACE, RunningAttempt};
 use super::shared::{AgentShared, EngineSlot};
 
-/// How long the first message of a stream may take.
-const FIRST_WAIT: Duration = Duration::from_secs(10);
+/// Timeout for the first message of a stream.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long the entry may take to confirm that it has the whole answer.
-const CONFIRM_WAIT: Duration = Duration::from_secs(3);
+/// Timeout for the entry's confirmation that it has received the whole answer.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Serves one stream.
+/// Serves one stream of an entry.
 pub(super) fn serve(stream: &LinkStream, shared: &Arc<AgentShared>) {
-    let request = match stream.reader.receive::<EntryRequest>(FIRST_WAIT) {
+    let request = match stream.reader.receive::<EntryRequest>(FIRST_MESSAGE_TIMEOUT) {
         Ok(request) => request,
         Err(error) => {
-            log::debug!("a dispatch stream brought nothing: {error}");
+            log::debug!("received no request on a dispatch stream: {error}");
             return;
         }
     };
-    let served = match request {
+    let result = match request {
         EntryRequest::Dispatch(order) => dispatch(order, shared, stream),
         EntryRequest::Resume { attempt, offset } => resume(attempt, offset, shared, stream),
         EntryRequest::Tombstone { attempt, age_ms } => {
             let age = Duration::from_millis(age_ms.into()) + stream.proof.age();
             let state = shared.attempts().tombstone(shared.clock.now(), attempt, age);
-            tell_state(&stream.writer, shared, attempt, state)
+            send_tombstone_state(&stream.writer, shared, attempt, state)
         }
         EntryRequest::Cancel { attempt } => {
             let state = cancel(attempt, shared);
-            tell_state(&stream.writer, shared, attempt, state)
+            send_tombstone_state(&stream.writer, shared, attempt, state)
         }
         EntryRequest::Received { attempt } => {
-            shared.held().remove(&attempt);
+            shared.held_attempts().remove(&attempt);
             Ok(())
         }
     };
-    if let Err(error) = served {
-        log::debug!("an entry went before its answer: {error}");
+    if let Err(error) = result {
+        log::debug!("a dispatch stream failed before its answer was complete: {error}");
     }
 }
 
@@ -64,23 +64,24 @@
     let _scope = TraceScope::enter(order.trace.trace_id);
     let mut span = shared.traces.span(SpanHop::Agent, order.trace);
     span.set("attempt", attempt);
-    if let Some(reason) = shared.refusal(&order) {
-        return refuse(&stream.writer, shared, attempt, reason);
+    if let Some(reason) = shared.refusal_reason(&order) {
+        return send_refusal(&stream.writer, shared, attempt, reason);
     }
     let slot = match shared.take_slot(&order) {
         Ok(slot) => slot,
-        Err(reason) => return refuse(&stream.writer, shared, attempt, reason),
+        Err(reason) => return send_refusal(&stream.writer, shared, attempt, reason),
     };
-    // The order is counted now, and the gate is asked again: an order that waited, or that came as
-    // the group began to leave, must not slip in after the group was found without work.
-    if let Some(reason) = shared.refusal(&order) {
-        return refuse(&stream.writer, shared, attempt, reason);
+    // Checks the gate again now that the order is counted: an order that waited for a slot, or
+    // arrived just as the group began to leave, must not start after the group was reported as
+    // drained.
+    if let Some(reason) = shared.refusal_reason(&order) {
+        return send_refusal(&stream.writer, shared, attempt, reason);
     }
     let begun = shared.attempts().begin(shared.clock.now(), attempt, stream.proof.age());
     let reason = match begun {
-        BeginDecision::Start => return start(order, slot, shared, stream, span),
+        BeginDecision::Start => return start_call(order, slot, shared, stream, span),
         BeginDecision::Duplicate => {
-            let detail = "the attempt came before".to_owned();
+            let detail = "the attempt was already received".to_owned();
             let outcome = CallOutcome::Unknown;
             let crashed = None;
             return stream.writer.send(&AgentReply::Failed { attempt, outcome, detail, crashed });
@@ -89,11 +90,11 @@
         BeginDecision::TooOld => RefusalReason::TooOld,
         BeginDecision::Full => RefusalReason::QueueFull,
     };
-    refuse(&stream.writer, shared, attempt, reason)
+    send_refusal(&stream.writer, shared, attempt, reason)
 }
 
-/// Calls the endpoint on a thread of its own, so that the call outlives this stream.
-fn start(
+/// Calls the endpoint on a separate thread, so that the call outlives this stream.
+fn start_call(
     mut order: DispatchOrder,
     slot: EngineSlot,
     shared: &Arc<AgentShared>,
@@ -104,8 +105,8 @@
     let call_span = shared.traces.span(SpanHop::Engine, span.context());
     order.trace = call_span.context();
     let running = Arc::new(RunningAttempt::new(order, shared.clock));
-    let reader = running.change(|buffer| buffer.attach(0));
-    shared.held().insert(attempt, Arc::clone(&running));
+    let reader = running.update(|buffer| buffer.attach(0));
+    shared.held_attempts().insert(attempt, Arc::clone(&running));
     let (owner, task) = (Arc::clone(shared), Arc::clone(&running));
     let call = move || {
         let _scope = TraceScope::enter(task.order.trace.trace_id);
@@ -130,7 +131,7 @@
     }
     stream.writer.send(&AgentReply::Accepted { attempt })?;
     match reader {
-        Some(reader) => relay(&running, reader, shared, stream),
+        Some(reader) => relay_answer(&running, reader, shared, stream),
         None => Ok(()),
     }
 }
@@ -141,23 +142,23 @@
     shared: &Arc<AgentShared>,
     stream: &LinkStream,
 ) -> Result<(), LinkError> {
-    let running = shared.held().get(&attempt).cloned();
-    let reader = running.as_ref().and_then(|held| held.change(|buffer| buffer.attach(offset)));
+    let running = shared.held_attempts().get(&attempt).cloned();
+    let reader = running.as_ref().and_then(|held| held.update(|buffer| buffer.attach(offset)));
     match (running, reader) {
-        (Some(running), Some(reader)) => relay(&running, reader, shared, stream),
+        (Some(running), Some(reader)) => relay_answer(&running, reader, shared, stream),
         _ => stream.writer.send(&AgentReply::NotHeld { attempt }),
     }
 }
 
 fn cancel(attempt: AttemptId, shared: &AgentShared) -> TombstoneState {
-    let running = shared.held().get(&attempt).cloned();
+    let running = shared.held_attempts().get(&attempt).cloned();
     let Some(running) = running else { return TombstoneState::CannotTell };
     running.cancel();
     endpoint::cancel(&shared.settings.endpoint, attempt);
     TombstoneState::Running
 }
 
-fn tell_state(
+fn send_tombstone_state(
     writer: &LinkWriter,
     shared: &AgentShared,
     attempt: AttemptId,
@@ -167,7 +168,7 @@
     writer.send(&AgentReply::Tombstone { attempt, state, incarnation })
 }
 
-fn refuse(
+fn send_refusal(
     writer: &LinkWriter,
     shared: &AgentShared,
     attempt: AttemptId,
@@ -176,29 +177,30 @@
     writer.send(&AgentReply::Refused { attempt, reason, load: shared.load() })
 }
 
-/// Sends the answer from the reader's position on; holds it for a while when the stream breaks.
-fn relay(
+/// Sends the answer from the reader's position on. If the stream fails, the answer is held for
+/// `RESUME_GRACE`.
+fn relay_answer(
     running: &Arc<RunningAttempt>,
     mut reader: BufferReader,
     shared: &AgentShared,
     stream: &LinkStream,
 ) -> Result<(), LinkError> {
     let attempt = running.order.attempt;
-    let sent = send_all(running, &mut reader, shared, stream);
+    let sent = send_answer(running, &mut reader, shared, stream);
     if matches!(sent, Ok(true)) {
-        shared.held().remove(&attempt);
+        shared.held_attempts().remove(&attempt);
         return Ok(());
     }
     running.detach(&reader);
     std::thread::sleep(RESUME_GRACE);
-    if running.is_over() {
-        shared.held().remove(&attempt);
+    if running.can_discard() {
+        shared.held_attempts().remove(&attempt);
     }
     sent.map(drop)
 }
 
-/// Sends until the end; `true` when the entry has the whole answer.
-fn send_all(
+/// Sends the answer until its end; `true` when the entry has received all of it.
+fn send_answer(
     running: &RunningAttempt,
     reader: &mut BufferReader,
     shared: &AgentShared,
@@ -235,72 +237,77 @@
     }
 }
 
-/// Whether the entry confirmed the end, or closed the stream in order.
+/// Whether the entry confirmed the end of the answer or closed the stream properly.
 fn is_confirmed(stream: &LinkStream) -> bool {
-    match stream.reader.receive::<EntryRequest>(CONFIRM_WAIT) {
+    match stream.reader.receive::<EntryRequest>(CONFIRM_TIMEOUT) {
         Ok(_) | Err(LinkError::Ended) => true,
         Err(_) => false,
     }
 }
 
-/// Calls the endpoint and fills the buffer.
+/// Calls the endpoint, fills the buffer with its answer and returns how the answer ended.
 fn run_endpoint(shared: &AgentShared, running: &RunningAttempt) -> AnswerEnd {
-    // Time may have passed since the gate was asked; the endpoint is called only under a lease.
-    if !shared.still_whole(&running.order) {
+    // Time may have passed since the gate was checked; the endpoint is called only while the
+    // leases are held.
+    if !shared.is_still_whole(&running.order) {
         return AnswerEnd::Refused(RefusalReason::GroupNotWhole);
     }
     let began = shared.clock.now();
     let mut answer = match endpoint::call(&shared.settings.endpoint, &running.order) {
         Ok(answer) => answer,
         Err(EndpointError::Unreachable { detail }) => {
-            log::warn!("endpoint unreachable: {detail}");
+            log::warn!("endpoint unreachable; refusing the attempt: {detail}");
             return AnswerEnd::Refused(RefusalReason::EndpointUnreachable);
         }
         Err(error @ EndpointError::Broken { .. }) => {
-            return broken(shared, began, &error.to_string());
+            return broken_end(shared, began, &error.to_string());
         }
-        Err(error) => return failed(&error.to_string()),
+        Err(error) => return failed_end(&error.to_string()),
     };
     let (status, content_type) = (answer.status, answer.content_type.clone());
-    running.change(|buffer| buffer.push_head(AnswerHead { status, content_type }));
-    match fill(&mut answer, shared, running) {
-        Ok(()) if shared.still_whole(&running.order) => AnswerEnd::Whole,
-        Ok(()) => failed("the group lost a member"),
-        Err(detail) => broken(shared, began, &detail),
+    running.update(|buffer| buffer.push_head(AnswerHead { status, content_type }));
+    match fill_buffer(&mut answer, shared, running) {
+        Ok(()) if shared.is_still_whole(&running.order) => AnswerEnd::Whole,
+        Ok(()) => failed_end("the group lost a member"),
+        Err(detail) => broken_end(shared, began, &detail),
     }
 }
 
-/// Moves the endpoint's answer into the buffer; returning early closes the endpoint's connection,
-/// which stops its stream.
-fn fill(
+/// Copies the endpoint's answer into the buffer. Returning early closes the connection to the
+/// endpoint, which stops its stream.
+fn fill_buffer(
     answer: &mut EndpointAnswer,
     shared: &AgentShared,
     running: &RunningAttempt,
 ) -> Result<(), String> {
     if !answer.is_stream() {
-        let data = answer.whole_body().map_err(|error| error.to_string())?;
-        return push(running, data);
+        let data = answer.read_body().map_err(|error| error.to_string())?;
+        return push_chunk(running, data);
     }
     while let Some(data) = answer.next_event().map_err(|error| error.to_string())? {
-        if !shared.still_whole(&running.order) {
+        if !shared.is_still_whole(&running.order) {
             return Err("the group lost a member".to_owned());
         }
-        push(running, data)?;
+        push_chunk(running, data)?;
     }
     Ok(())
 }
 
-fn push(running: &RunningAttempt, data: Vec<u8>) -> Result<(), String> {
-    if running.push(data) { Ok(()) } else { Err("nobody waits for the answer".to_owned()) }
+fn push_chunk(running: &RunningAttempt, data: Vec<u8>) -> Result<(), String> {
+    if running.push(data) {
+        Ok(())
+    } else {
+        Err("the attempt was cancelled or abandoned".to_owned())
+    }
 }
 
-fn failed(detail: &str) -> AnswerEnd {
+fn failed_end(detail: &str) -> AnswerEnd {
     let detail = detail.to_owned();
     AnswerEnd::Failed { outcome: CallOutcome::Unknown, detail, crashed: None }
 }
 
-/// The end of a call that broke off, and whether the endpoint crashed under it.
-fn broken(shared: &AgentShared, began: TimePoint, detail: &str) -> AnswerEnd {
+/// The end of a call that broke off; it states whether the endpoint crashed during the call.
+fn broken_end(shared: &AgentShared, began: TimePoint, detail: &str) -> AnswerEnd {
     let (outcome, detail) = (CallOutcome::Unknown, detail.to_owned());
     AnswerEnd::Failed { outcome, detail, crashed: shared.endpoint_crash(began) }
 }
--- a/crates/node/src/agent/session.rs
+++ b/crates/node/src/agent/session.rs
@@ -1,4 +1,4 @@
-//! The agent's stream to control: announcements and reports up, directives down.
+//! The agent's session with a control host: sends announcements and reports, receives directives.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,16 +12,16 @@
 
 use super::core::AgentInput;
 
-/// Time between two announcements on an open session when nothing changes.
+/// Time between two announcements on an open session while nothing changes.
 ///
-/// That the agent is there is shown by the connection itself, whose pings are answered below the
-/// control thread; the announcement only renews what control knows of the host.
+/// The connection itself, whose pings are answered without the control thread, shows that the
+/// agent is alive; the announcement only refreshes what control knows about the host.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Time between two looks whether there is something new to announce.
-const LOOK_INTERVAL: Duration = Duration::from_millis(1000);
+/// Interval at which it is checked whether there is something new to announce.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Wait before the next control host is tried.
+/// Delay before the next control host is tried.
 const RECONNECT_WAIT: Duration = Duration::from_millis(300);
 
 /// Sends reports on the current session.
@@ -33,8 +33,8 @@
 }
 
 impl SessionHandle {
-    /// Announces from now on that the host is on its way out.
-    pub(super) fn leave(&self) {
+    /// Announces from now on that the host is leaving.
+    pub(super) fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
@@ -42,33 +42,33 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Whether there is a session with a control host.
+    /// Whether a session with a control host is open.
     pub(super) fn is_open(&self) -> bool {
         self.writer.lock().unwrap_or_else(PoisonError::into_inner).is_some()
     }
 
-    fn announcement(&self, said: &HostAnnouncement) -> AgentReport {
-        AgentReport::Announce(HostAnnouncement { leaving: self.is_leaving(), ..said.clone() })
+    fn announcement(&self, base: &HostAnnouncement) -> AgentReport {
+        AgentReport::Announce(HostAnnouncement { leaving: self.is_leaving(), ..base.clone() })
     }
 
-    /// Sends `report`; `false` when there is no session that takes it now.
+    /// Sends `report`; `false` when no session is open or its queue is full.
     pub(super) fn report(&self, report: &AgentReport) -> bool {
         let writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner).clone();
         writer.is_some_and(|writer| writer.try_send(report).unwrap_or(false))
     }
 
-    /// Ends the session.
+    /// Ends the current session; no other is opened.
     pub(super) fn stop(&self) {
         self.running.store(false, Ordering::Relaxed);
-        self.set(None);
+        self.set_writer(None);
     }
 
-    fn set(&self, writer: Option<LinkWriter>) {
+    fn set_writer(&self, writer: Option<LinkWriter>) {
         *self.writer.lock().unwrap_or_else(PoisonError::into_inner) = writer;
     }
 }
 
-/// Starts the session's thread.
+/// Starts the thread that keeps a session with one of `peers`, trying them in turn.
 pub(super) fn start(
     client: LinkClient,
     peers: Vec<SocketAddr>,
@@ -86,16 +86,16 @@
             if !session.running.load(Ordering::Relaxed) {
                 return;
             }
-            hold(&session, &client, *peer, &announcement, &inputs);
-            session.set(None);
+            run_session(&session, &client, *peer, &announcement, &inputs);
+            session.set_writer(None);
             std::thread::sleep(RECONNECT_WAIT);
         }
     })?;
     Ok(handle)
 }
 
-/// Keeps one session open until it fails.
-fn hold(
+/// Opens a session with `peer` and serves it until it fails or is stopped.
+fn run_session(
     session: &SessionHandle,
     client: &LinkClient,
     peer: SocketAddr,
@@ -103,17 +103,17 @@
     inputs: &Sender<AgentInput>,
 ) {
     let (writer, reader) = client.open(peer, CallKind::Fleet);
-    // Looked at before it is announced: a change in between is then announced once more.
-    let (mut said_leaving, mut announced) = (session.is_leaving(), Instant::now());
+    // Read before it is announced, so that a change in between causes another announcement.
+    let (mut announced_leaving, mut announced_at) = (session.is_leaving(), Instant::now());
     if writer.send(&session.announcement(announcement)).is_err() {
         return;
     }
-    session.set(Some(writer.clone()));
+    session.set_writer(Some(writer.clone()));
     if inputs.send(AgentInput::SessionOpened).is_err() {
         return;
     }
     while session.running.load(Ordering::Relaxed) {
-        match reader.receive::<ControlDirective>(LOOK_INTERVAL) {
+        match reader.receive::<ControlDirective>(CHECK_INTERVAL) {
             Ok(directive) => {
                 if inputs.send(AgentInput::Directive(directive)).is_err() {
                     return;
@@ -121,16 +121,16 @@
             }
             Err(LinkError::TimedOut) => {
                 let leaving = session.is_leaving();
-                if leaving == said_leaving && announced.elapsed() < ANNOUNCE_INTERVAL {
+                if leaving == announced_leaving && announced_at.elapsed() < ANNOUNCE_INTERVAL {
                     continue;
                 }
-                (said_leaving, announced) = (leaving, Instant::now());
+                (announced_leaving, announced_at) = (leaving, Instant::now());
                 if writer.send(&session.announcement(announcement)).is_err() {
                     return;
                 }
             }
             Err(error) => {
-                log::info!("session with control ended: {error}");
+                log::info!("session with control ended; trying the next control host: {error}");
                 return;
             }
         }
--- a/crates/node/src/agent/shared.rs
+++ b/crates/node/src/agent/shared.rs
@@ -1,4 +1,4 @@
-//! What the agent's control thread shares with its traffic threads.
+//! State that the agent's control thread shares with the threads that serve requests.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -12,35 +12,35 @@
 use briartray_model::settings::{AgentSettings, EndpointKind};
 use briartray_routing::attempt::{AttemptBook, BookLimits};
 
-use super::crash_watch::CrashWatch;
-use super::pace;
+use super::crash_detector::CrashDetector;
 use super::running::RunningAttempt;
+use super::step_time;
 use crate::trace::TraceHub;
 use crate::{ClockReader, new_incarnation};
 
-/// The gate as traffic threads see it.
+/// Snapshot of the group's gate for the threads that serve requests.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct GateView {
-    /// Group whose first host this is.
+    /// Group that this host leads.
     pub(super) group: GroupId,
-    /// Its fencing number; zero when this host is no first host.
+    /// The group's fencing number; 0 when this host leads no group.
     pub(super) fencing: FencingNumber,
-    /// Until when every member's lease is held.
+    /// Time until which the leases of all members are held.
     pub(super) whole_until: Option<TimePoint>,
-    /// How many attempts may be in flight.
+    /// Maximum number of attempts in flight.
     pub(super) capacity: u32,
 }
 
-/// Longest wait for a slot.
+/// Longest time that an order waits for a slot.
 const MAX_SLOT_WAIT: Duration = Duration::from_millis(250);
 
-/// Slots per order that may wait.
-const QUEUE_SHARE: u32 = 16;
+/// Slots per queued order; the queue's capacity is the slot count divided by this.
+const SLOTS_PER_QUEUED_ORDER: u32 = 16;
 
-/// Orders that may wait at most.
-const MAX_QUEUED: u32 = 16;
+/// Upper bound of the queue's capacity.
+const MAX_QUEUED_ORDERS: u32 = 16;
 
-/// Orders at the endpoint, and orders that wait for a slot there.
+/// Numbers of orders that hold a slot of the endpoint and that wait for one.
 #[derive(Debug, Clone, Copy, Default)]
 struct SlotCount {
     in_flight: u32,
@@ -53,23 +53,24 @@
     pub(super) settings: AgentSettings,
     pub(super) clock: ClockReader,
     pub(super) traces: TraceHub,
-    /// Number of this start of the process.
+    /// Incarnation of this process.
     pub(super) incarnation: u64,
     gate: ArcSwap<GateView>,
     closed: AtomicBool,
-    /// Fencing number of the group that takes no new work; zero for none.
+    /// Fencing number of the group that leaves and takes no new work; 0 for none.
     leaving: AtomicU64,
-    /// Whether the process is ending; no directive takes that back.
-    ending: AtomicBool,
-    /// Whether control said that the host may be shut down.
+    /// Whether the process is shutting down, which no directive revokes.
+    shutting_down: AtomicBool,
+    /// Whether control has allowed this host to shut down.
     may_stop: AtomicBool,
     slots: Mutex<SlotCount>,
     slot_freed: Condvar,
-    /// Recent time of an engine's step or a plain call, in microseconds; zero while unknown.
-    pace: AtomicU32,
+    /// Recent duration of an engine's step or a plain service's call, in microseconds; 0 while
+    /// unknown.
+    step_time: AtomicU32,
     attempts: Mutex<AttemptBook>,
-    held: Mutex<SortedTable<AttemptId, Arc<RunningAttempt>>>,
-    crashes: CrashWatch,
+    held_attempts: Mutex<SortedTable<AttemptId, Arc<RunningAttempt>>>,
+    crash_detector: CrashDetector,
 }
 
 impl AgentShared {
@@ -82,51 +83,53 @@
             gate: ArcSwap::from_pointee(GateView::default()),
             closed: AtomicBool::new(false),
             leaving: AtomicU64::new(0),
-            ending: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             may_stop: AtomicBool::new(false),
             slots: Mutex::new(SlotCount::default()),
             slot_freed: Condvar::new(),
-            pace: AtomicU32::new(0),
+            step_time: AtomicU32::new(0),
             attempts: Mutex::new(AttemptBook::new(BookLimits::default())),
-            held: Mutex::new(SortedTable::new()),
-            crashes: CrashWatch::default(),
+            held_attempts: Mutex::new(SortedTable::new()),
+            crash_detector: CrashDetector::default(),
         }
     }
 
-    /// Which start of the endpoint crashed under a call that began at `began` and has broken off.
+    /// The incarnation of the endpoint that crashed during a call that began at `began` and broke
+    /// off; `None` if the endpoint has not crashed.
     pub(super) fn endpoint_crash(&self, began: TimePoint) -> Option<IncarnationId> {
-        // Agents count from one at each start, and two of their starts must not name the same crash.
-        let life = format!("{}/{:x}", self.settings.host, self.incarnation);
+        // Crashes are counted from 1 after every start of the agent, so the name includes the
+        // agent's incarnation to keep crashes of two starts apart.
+        let incarnation_name = format!("{}/{:x}", self.settings.host, self.incarnation);
         let address = self.settings.endpoint.address;
-        self.crashes.crashed(address, &life, began, || self.clock.now())
+        self.crash_detector.detect_crash(address, &incarnation_name, began, || self.clock.now())
     }
 
-    /// Publishes the gate's state.
-    pub(super) fn publish(&self, view: GateView) {
+    /// Replaces the snapshot of the gate.
+    pub(super) fn publish_gate(&self, view: GateView) {
         self.gate.store(Arc::new(view));
     }
 
-    /// Takes no new work from now on.
+    /// Refuses new work from now on.
     pub(super) fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Notes that the host takes part in no work any more.
+    /// Records that control has allowed this host to shut down.
     pub(super) fn allow_stop(&self) {
         self.may_stop.store(true, Ordering::SeqCst);
     }
 
-    /// Whether control said that the host may be shut down.
+    /// Whether control has allowed this host to shut down.
     pub(super) fn may_stop(&self) -> bool {
         self.may_stop.load(Ordering::SeqCst)
     }
 
-    /// Lets every group that this host leads from now on take no new work.
-    pub(super) fn leave_group(&self) {
-        self.ending.store(true, Ordering::SeqCst);
+    /// Makes every group that this host leads, now or later, refuse new work.
+    pub(super) fn begin_leaving(&self) {
+        self.shutting_down.store(true, Ordering::SeqCst);
     }
 
-    /// Lets the group under `fencing` take no new work, or take it again.
+    /// Makes the group with `fencing` refuse new work, or accept it again.
     pub(super) fn set_leaving(&self, fencing: FencingNumber, leaving: bool) {
         if leaving {
             self.leaving.store(fencing.0, Ordering::SeqCst);
@@ -136,33 +139,35 @@
         }
     }
 
-    /// Whether the group under `fencing` takes no new work and has none left.
+    /// Whether the group with `fencing` is leaving and has no work left.
     ///
-    /// An order is counted in before it looks whether the group leaves, so that no order slips in
-    /// after this was found true.
+    /// An order is counted before it checks whether the group is leaving, so no order can start
+    /// after this has returned `true`.
     pub(super) fn is_drained(&self, fencing: FencingNumber) -> bool {
         self.is_leaving(fencing) && self.is_idle()
     }
 
     fn is_leaving(&self, fencing: FencingNumber) -> bool {
-        self.ending.load(Ordering::SeqCst) || self.leaving.load(Ordering::SeqCst) == fencing.0
+        self.shutting_down.load(Ordering::SeqCst)
+            || self.leaving.load(Ordering::SeqCst) == fencing.0
     }
 
-    /// Whether no attempt runs and no answer is on its way to an entry.
+    /// Whether no attempt is running or queued and no answer is held for an entry.
     pub(super) fn is_idle(&self) -> bool {
         let slots = *self.lock_slots();
-        slots.in_flight == 0 && slots.queued == 0 && self.held().is_empty()
+        slots.in_flight == 0 && slots.queued == 0 && self.held_attempts().is_empty()
     }
 
-    /// Why `order` must not run now, if so.
+    /// The reason why `order` must not run now, if there is one.
     ///
-    /// The time is read after the view: a process that slept in between finds the lease gone.
-    pub(super) fn refusal(&self, order: &DispatchOrder) -> Option<RefusalReason> {
+    /// The clock is read after the gate's snapshot, so a process that was paused in between sees
+    /// the lease as expired.
+    pub(super) fn refusal_reason(&self, order: &DispatchOrder) -> Option<RefusalReason> {
         if self.closed.load(Ordering::SeqCst) {
             return Some(RefusalReason::Leaving);
         }
-        // An order for an earlier start of this process may have been held up on its way; its
-        // tombstone went with that process.
+        // A delayed order may be addressed to an earlier incarnation of this process, whose
+        // tombstone for it was lost on the restart.
         if order.incarnation != self.incarnation {
             return Some(RefusalReason::WrongGroup);
         }
@@ -176,14 +181,14 @@
         (!self.is_whole(&gate)).then_some(RefusalReason::GroupNotWhole)
     }
 
-    /// Counts `order` in, after a short wait when every slot is taken; it is counted out when the
-    /// slot is dropped.
+    /// Takes a slot for `order`, after a short wait if all slots are taken. The slot is released
+    /// when it is dropped.
     ///
-    /// The queue covers the time in which a freed slot would stand empty until an entry hears of
-    /// it. It stays short: a request that waits here cannot go to another replica.
+    /// The queue keeps a freed slot from staying unused until an entry learns of it. It is short,
+    /// because a request that waits here cannot be sent to another replica.
     ///
     /// # Errors
-    /// Why the order is refused; it was not run.
+    /// The reason why the order is refused; it has not run.
     pub(super) fn take_slot(
         self: &Arc<Self>,
         order: &DispatchOrder,
@@ -216,38 +221,40 @@
     }
 
     /// Whether the group of `order` is still whole at its fencing number.
-    pub(super) fn still_whole(&self, order: &DispatchOrder) -> bool {
+    pub(super) fn is_still_whole(&self, order: &DispatchOrder) -> bool {
         let gate = self.gate.load();
         (gate.group, gate.fencing) == (order.group, order.fencing) && self.is_whole(&gate)
     }
 
-    /// The load to report.
+    /// The current load, for reports to entries.
     pub(super) fn load(&self) -> LoadReport {
         let slots = self.lock_slots();
         LoadReport {
             in_flight: slots.in_flight,
             queued: slots.queued,
             capacity: self.capacity(),
-            step_micros: self.pace.load(Ordering::Relaxed),
+            step_micros: self.step_time.load(Ordering::Relaxed),
         }
     }
 
-    /// Notes how long an engine's step or a plain call takes, in microseconds.
-    pub(super) fn set_pace(&self, micros: u32) {
-        self.pace.store(micros, Ordering::Relaxed);
+    /// Sets the recent duration of an engine's step or a plain service's call, in microseconds.
+    pub(super) fn set_step_time(&self, micros: u32) {
+        self.step_time.store(micros, Ordering::Relaxed);
     }
 
-    /// Whether the agent takes no new work.
+    /// Whether the agent refuses new work.
     pub(super) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
-    /// The answers that are held, by attempt.
-    pub(super) fn held(&self) -> MutexGuard<'_, SortedTable<AttemptId, Arc<RunningAttempt>>> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Attempts that are running or whose answers are held for an entry.
+    pub(super) fn held_attempts(
+        &self,
+    ) -> MutexGuard<'_, SortedTable<AttemptId, Arc<RunningAttempt>>> {
+        self.held_attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The attempts seen so far.
+    /// Record of the attempts and tombstones seen so far.
     pub(super) fn attempts(&self) -> MutexGuard<'_, AttemptBook> {
         self.attempts.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -265,33 +272,33 @@
     }
 }
 
-/// One slot of the endpoint; counts as free again when dropped.
+/// One slot of the endpoint, released on drop.
 #[derive(Debug)]
 pub(super) struct EngineSlot {
     shared: Arc<AgentShared>,
-    taken: TimePoint,
+    taken_at: TimePoint,
 }
 
 impl EngineSlot {
     fn new(shared: &Arc<AgentShared>) -> Self {
-        Self { shared: Arc::clone(shared), taken: shared.clock.now() }
+        Self { shared: Arc::clone(shared), taken_at: shared.clock.now() }
     }
 }
 
 impl Drop for EngineSlot {
     fn drop(&mut self) {
         if self.shared.settings.endpoint.kind == EndpointKind::Plain {
-            let took = self.shared.clock.now().since(self.taken).as_micros();
+            let took = self.shared.clock.now().since(self.taken_at).as_micros();
             let sample = u32::try_from(took).unwrap_or(u32::MAX);
-            let running = self.shared.pace.load(Ordering::Relaxed);
-            self.shared.set_pace(pace::blend(running, sample));
+            let average = self.shared.step_time.load(Ordering::Relaxed);
+            self.shared.set_step_time(step_time::moving_average(average, sample));
         }
         self.shared.lock_slots().in_flight -= 1;
         self.shared.slot_freed.notify_one();
     }
 }
 
-/// Orders that may wait for a slot.
+/// Number of orders that may wait for a slot when there are `capacity` slots.
 fn queue_length(capacity: u32) -> u32 {
-    (capacity / QUEUE_SHARE).clamp(1, MAX_QUEUED)
+    (capacity / SLOTS_PER_QUEUED_ORDER).clamp(1, MAX_QUEUED_ORDERS)
 }
--- a/crates/node/src/control/accounting.rs
+++ b/crates/node/src/control/accounting.rs
@@ -1,4 +1,4 @@
-//! Counting group downtime and stranded accelerators on the live fleet.
+//! Accounts for group downtime and stranded accelerators of the live fleet.
 
 use std::time::Duration;
 
@@ -10,19 +10,20 @@
 
 use crate::metrics::GroupMetrics;
 
-/// Time between two looks at the whole fleet.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+/// Time between two samples of the whole fleet.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A longer pause than this is not counted: another host led, or this process stood still.
-const LONGEST_GAP: Duration = Duration::from_secs(5);
+/// Longest time between two samples that is counted; during a longer gap another host led or this
+/// process was paused.
+const MAX_COUNTED_GAP: Duration = Duration::from_secs(5);
 
-/// The account of a control host for the time that it leads.
+/// Totals of a control host for the time during which it leads.
 #[derive(Debug)]
 pub(super) struct FleetCounter {
     metrics: GroupMetrics,
     rates: FleetRates,
     account: FleetAccount,
-    counted: Option<TimePoint>,
+    last_count: Option<TimePoint>,
     seconds: f64,
 }
 
@@ -32,31 +33,32 @@
             metrics,
             rates: FleetRates::default(),
             account: FleetAccount::default(),
-            counted: None,
+            last_count: None,
             seconds: 0.0,
         }
     }
 
-    /// Adds the time since the last look and looks again, at most once a second.
+    /// Adds the time since the last sample to the totals and takes a new sample, at most once per
+    /// second.
     pub(super) fn count(&mut self, now: TimePoint, view: &FleetView, book: &RuleBook) {
-        let gap = self.counted.map_or(Duration::MAX, |counted| now.since(counted));
-        if gap < COUNT_EVERY {
+        let gap = self.last_count.map_or(Duration::MAX, |last_count| now.since(last_count));
+        if gap < COUNT_INTERVAL {
             return;
         }
-        if gap <= LONGEST_GAP {
+        if gap <= MAX_COUNTED_GAP {
             self.seconds += gap.as_secs_f64();
             self.metrics.count(&self.rates, gap.as_secs_f64());
             self.account.advance(now, &self.rates);
         } else {
             self.account.skip(now);
         }
-        self.counted = Some(now);
+        self.last_count = Some(now);
         self.rates = FleetRates::take(view, book);
         self.metrics.show(&self.rates);
     }
 
-    /// What was counted, by service.
-    pub(super) fn show(&self, book: &RuleBook) -> Value {
+    /// The totals of each service, for operators.
+    pub(super) fn to_json(&self, book: &RuleBook) -> Value {
         let services: Vec<Value> = self
             .account
             .services()
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -1,4 +1,5 @@
-//! The control thread: steps the agreement, plans groups, answers entries and operators.
+//! The control thread: runs the agreement protocol, plans groups, and answers entries and
+//! operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +26,7 @@
 use super::accounting::FleetCounter;
 use super::fleet::FleetRoster;
 use super::input::{ControlInput, InspectKind};
-use super::leases::{LeaseDesk, RenewalStep};
+use super::leases::{LeaseCoordinator, RenewalAction};
 use super::limits::LimitRegistry;
 use super::origin::{InspectAnswer, ProposalOrigin, ReadOrigin};
 use super::peers::PeerLinks;
@@ -36,29 +37,31 @@
 use crate::ClockReader;
 use crate::metrics::{AgreementMetrics, GroupMetrics};
 
-/// Time between two rounds of planning.
-const TICK: Duration = Duration::from_millis(200);
+/// Interval of the periodic work: planning, stops and expiry.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Inputs that share one step of the agreement, and so one sync, at most.
+/// Limits the inputs handled in one step of the agreement after the first, and thus in one disk
+/// sync.
 const MAX_INPUTS_PER_STEP: usize = 1024;
 
-/// How long a new leader lets agents reconnect before it dissolves a group for a missing host.
+/// How long a new leader waits for agents to reconnect before it dissolves a group because a host
+/// is missing.
 ///
-/// Agents of a leader that went silent notice it after 3 s and try each control host in turn.
+/// Agents detect a silent leader after 3 s and then try each control host in turn.
 pub(super) const RECONNECT_GRACE: Duration = Duration::from_secs(8);
 
-/// What a leader keeps while it leads.
+/// State of one term of leadership.
 #[derive(Debug)]
 pub(super) struct Leadership {
     pub(super) term: TermNumber,
     pub(super) since: TimePoint,
-    /// Whether everything committed before is applied here.
+    /// Whether all entries committed in earlier terms have been applied on this host.
     pub(super) established: bool,
-    /// Proposals of the planner that are not committed yet.
-    pub(super) plans_open: usize,
+    /// Commands proposed by the planner that are not committed yet.
+    pub(super) pending_plans: usize,
 }
 
-/// The parts that a control thread is made of.
+/// Everything that a control thread is constructed from.
 pub(super) struct ControlParts {
     pub(super) clock: ClockReader,
     pub(super) agreement: AgreementCore,
@@ -67,13 +70,13 @@
     pub(super) shared: Arc<ControlShared>,
     pub(super) metrics: AgreementMetrics,
     pub(super) groups: GroupMetrics,
-    /// Rules to start with when nothing was ever accepted.
+    /// Rules to propose if no rules have ever been accepted.
     pub(super) first_rules: Option<String>,
-    /// Terms for entries that register from now on.
+    /// Lease policy for entries that register from now on.
     pub(super) rules_hold: HoldPolicy,
 }
 
-/// State and soft knowledge of one control host.
+/// Replicated state of one control host, and what it derives or collects in memory only.
 pub(super) struct ControlCore {
     pub(super) parts: ControlParts,
     pub(super) state: ControlState,
@@ -82,7 +85,7 @@
     pub(super) planner: PlanDriver,
     pub(super) counter: FleetCounter,
     pub(super) stops: StopDriver,
-    pub(super) leases: LeaseDesk,
+    pub(super) leases: LeaseCoordinator,
     pub(super) snapshots: SnapshotLog,
     pub(super) version: SnapshotVersion,
     limits: LimitRegistry,
@@ -104,7 +107,7 @@
             roster: FleetRoster::default(),
             planner: PlanDriver::default(),
             stops: StopDriver::default(),
-            leases: LeaseDesk::default(),
+            leases: LeaseCoordinator::default(),
             snapshots: SnapshotLog::default(),
             version: SnapshotVersion::default(),
             limits: LimitRegistry::default(),
@@ -116,18 +119,19 @@
         }
     }
 
-    /// Runs until told to stop.
+    /// Handles inputs until `ControlInput::Stop` arrives, the channel closes or the role fails.
     pub(super) fn run(mut self, queue: &Receiver<ControlInput>) {
         let mut next_tick = self.now();
         loop {
             self.parts.agreement.tick(self.now());
             if self.now() >= next_tick {
                 self.tick();
-                next_tick = self.now().after(TICK);
+                next_tick = self.now().after(TICK_INTERVAL);
             }
-            while self.advance() {}
+            while self.process_output() {}
             if self.parts.shared.failure().is_some() {
-                // A state that misses a command, or a log that is not kept, answers nobody.
+                // Nothing may be answered from a state that misses a command, or while the log is
+                // not being stored.
                 return;
             }
             let until = next_tick.min(self.parts.agreement.deadline());
@@ -149,61 +153,61 @@
         self.parts.clock.now()
     }
 
-    /// Submits `command`; whoever waits learns the outcome once it is committed and applied.
+    /// Proposes `command`; `origin` is answered once the command is committed and applied.
     pub(super) fn submit(&mut self, command: &ControlCommand, origin: ProposalOrigin) {
         let now = self.now();
-        let token = ProposalToken(self.take_token());
+        let token = ProposalToken(self.allocate_token());
         let encoded = match codec::encode(command) {
             Ok(encoded) => encoded,
             Err(error) => {
-                log::error!("a command has no encoding: {error}");
-                return self.lose(origin);
+                log::error!("cannot encode a command; it is not proposed: {error}");
+                return self.report_unknown(origin);
             }
         };
         match self.parts.agreement.propose(now, token, encoded) {
             Ok(()) => {
                 if let (ProposalOrigin::Planner, Some(lead)) = (&origin, &mut self.leadership) {
-                    lead.plans_open += 1;
+                    lead.pending_plans += 1;
                 }
                 self.proposals.insert(token, origin);
             }
             Err(refusal) => match origin {
-                ProposalOrigin::Operator(_) => origin.refused(refusal),
-                other => self.lose(other),
+                ProposalOrigin::Operator(_) => origin.report_refusal(refusal),
+                other => self.report_unknown(other),
             },
         }
     }
 
-    /// A command that may or may not be applied later.
-    pub(super) fn lose(&mut self, origin: ProposalOrigin) {
+    /// Reports to `origin` that its command may or may not be applied later.
+    pub(super) fn report_unknown(&mut self, origin: ProposalOrigin) {
         match origin {
             ProposalOrigin::Quarantine(print) => self.quarantine.lost(print),
-            other => other.unknown(),
+            other => other.report_unknown(),
         }
     }
 
-    /// Lets `origin` wait until a majority confirms that this host leads.
-    fn confirm(&mut self, origin: ReadOrigin) {
+    /// Answers `origin` once a majority has confirmed that this host is still the leader.
+    fn confirm_leadership(&mut self, origin: ReadOrigin) {
         let now = self.now();
-        let token = ReadToken(self.take_token());
+        let token = ReadToken(self.allocate_token());
         match self.parts.agreement.read(now, token) {
             Ok(()) => {
                 self.reads.insert(token, origin);
             }
-            Err(ProposalRefusal::NotLeader { leader }) => origin.not_leader(leader),
-            Err(_) => origin.not_leader(None),
+            Err(ProposalRefusal::NotLeader { leader }) => origin.report_not_leader(leader),
+            Err(_) => origin.report_not_leader(None),
         }
     }
 
-    fn take_token(&mut self) -> u64 {
+    fn allocate_token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
 
-    /// Does what follows from a command that was applied.
-    pub(super) fn follow_up(&mut self, outcome: &CommandOutcome) {
+    /// Updates derived state after a command was applied.
+    pub(super) fn update_after(&mut self, outcome: &CommandOutcome) {
         match outcome {
-            CommandOutcome::RulesAccepted { .. } => self.adopt_rules(),
+            CommandOutcome::RulesAccepted { .. } => self.load_rules(),
             CommandOutcome::Quarantined { print } => self.quarantine.added(*print),
             CommandOutcome::QuarantineLifted { print } => {
                 self.quarantine.lifted(self.parts.clock.now(), *print);
@@ -211,18 +215,20 @@
             CommandOutcome::GroupFormed { .. } | CommandOutcome::GroupDissolved { .. } => {
                 self.version.bump();
                 if self.is_established() {
-                    self.roster.direct(&self.state.groups);
+                    self.roster.send_memberships(&self.state.groups);
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn adopt_rules(&mut self) {
+    pub(super) fn load_rules(&mut self) {
         let current = self.state.rules.current();
         match RuleBook::build(current.revision, &current.text) {
             Ok(book) => self.book = book,
-            Err(error) => log::error!("accepted rules do not load: {error}"),
+            Err(error) => {
+                log::error!("cannot load the accepted rules; keeping the previous ones: {error}")
+            }
         }
         self.version.bump();
     }
@@ -234,12 +240,13 @@
             ControlInput::Peer(message) => self.parts.agreement.receive(now, message),
             ControlInput::Stored { ticket } => self.parts.agreement.stored(now, ticket),
             ControlInput::Watch { request, writer } => {
-                self.confirm(ReadOrigin::Watch(request, writer));
+                self.confirm_leadership(ReadOrigin::Watch(request, writer));
             }
-            ControlInput::Ledger { request, port } => {
-                self.submit(&ControlCommand::Ledger(request), ProposalOrigin::Ledger(port));
+            ControlInput::Ledger { request, responder } => {
+                self.submit(&ControlCommand::Ledger(request), ProposalOrigin::Ledger(responder));
             }
-            // Only a leader knows the fleet; another host names the leader.
+            // Only the leader knows the fleet. Elsewhere the proposal is refused with the name of
+            // the leader, so the checks against the fleet are skipped.
             ControlInput::Propose { command, reply } if !leads => {
                 self.submit(&command, ProposalOrigin::Operator(reply));
             }
@@ -247,23 +254,23 @@
                 let view = self.roster.view(&self.state.groups);
                 match stops::check_stop(&self.state.stops, &view, &self.book, command) {
                     Ok(command) => self.submit(&command, ProposalOrigin::Operator(reply)),
-                    Err(refusal) => ProposalOrigin::Operator(reply).done(refusal),
+                    Err(refusal) => ProposalOrigin::Operator(reply).report_outcome(refusal),
                 }
             }
-            ControlInput::Inspect { what: InspectKind::Status, reply } => {
-                let _ = reply.send(InspectAnswer::Shown(self.inspect(InspectKind::Status)));
+            ControlInput::Inspect { kind: InspectKind::Status, reply } => {
+                let _ = reply.send(InspectAnswer::Body(self.inspect(InspectKind::Status)));
             }
-            ControlInput::Inspect { what, reply } => {
-                self.confirm(ReadOrigin::Inspect(what, reply));
+            ControlInput::Inspect { kind, reply } => {
+                self.confirm_leadership(ReadOrigin::Inspect(kind, reply));
             }
-            // Agents belong to the leader; a dropped writer ends their stream.
+            // Only the leader serves agents; dropping the writer closes the stream.
             ControlInput::FleetOpened { .. } | ControlInput::FleetReport { .. } if !leads => {}
             ControlInput::FleetOpened { session, writer } => {
                 self.roster.open(session, writer);
-                self.confirm(ReadOrigin::Fleet(session));
+                self.confirm_leadership(ReadOrigin::Fleet(session));
             }
             ControlInput::FleetReport { session, report } => {
-                if self.roster.report(now, session, report) {
+                if self.roster.handle_report(now, session, report) {
                     self.version.bump();
                 }
             }
@@ -277,19 +284,19 @@
             return;
         }
         let now = self.now();
-        self.leases.settle(now);
-        self.keep_quarantine(now);
-        // A confirmation that was refused for want of room is asked for again.
-        for session in self.roster.waiting() {
-            self.confirm(ReadOrigin::Fleet(session));
+        self.leases.answer_waiting(now);
+        self.expire_quarantine(now);
+        // Requests the confirmations again that were refused because the read queue was full.
+        for session in self.roster.pending_sessions() {
+            self.confirm_leadership(ReadOrigin::Fleet(session));
         }
         self.roster.prune(now, &self.state.groups);
-        self.roster.direct(&self.state.groups);
-        if self.roster.settle(now, &self.state.groups) {
+        self.roster.send_memberships(&self.state.groups);
+        if self.roster.expire_awaited(now, &self.state.groups) {
             self.version.bump();
         }
         self.plan(now);
-        self.carry_out_stops(now);
+        self.update_stops(now);
     }
 
     fn plan(&mut self, now: TimePoint) {
@@ -297,32 +304,32 @@
         let in_grace = now.since(leadership.since) < RECONNECT_GRACE;
         let mut view = self.roster.view(&self.state.groups);
         self.counter.count(now, &view, &self.book);
-        if leadership.plans_open > 0 {
+        if leadership.pending_plans > 0 {
             return;
         }
-        stops::mark_hosts(&mut view, &self.state.stops);
+        stops::mark_leaving_hosts(&mut view, &self.state.stops);
         for command in self.planner.step(now, &view, &self.book) {
-            // A host that is missing now may only not have found the new leader yet.
-            if in_grace && ends_group_with_absent(&view, &command) {
+            // An absent host may only not have connected to the new leader yet.
+            if in_grace && ends_group_with_absent_host(&view, &command) {
                 continue;
             }
-            let drained = |group| self.roster.is_drained(&self.state.groups, group);
-            if !self.stops.holds_back(now, &command, &view, drained) {
+            let is_drained = |group| self.roster.is_drained(&self.state.groups, group);
+            if !self.stops.must_defer(now, &command, &view, is_drained) {
                 self.submit(&command, ProposalOrigin::Planner);
             }
         }
     }
 
-    fn carry_out_stops(&mut self, now: TimePoint) {
+    fn update_stops(&mut self, now: TimePoint) {
         let groups = &self.state.groups;
         let view = self.roster.view(groups);
         if self.stops.update(now, &view, &self.state.stops, &self.book) {
             self.version.bump();
         }
-        let drained = |group| self.roster.is_drained(groups, group);
-        let stoppable = stops::stoppable(&view, &self.state.stops, drained);
-        self.roster.direct_stops(groups, self.stops.leaving(), &stoppable);
-        for group in self.stops.beginning(&view, &self.state.stops) {
+        let is_drained = |group| self.roster.is_drained(groups, group);
+        let stoppable = stops::stoppable_hosts(&view, &self.state.stops, is_drained);
+        self.roster.send_stop_directives(groups, self.stops.leaving(), &stoppable);
+        for group in self.stops.unrecorded_leaving(&view, &self.state.stops) {
             self.submit(&ControlCommand::BeginLeave { group }, ProposalOrigin::Planner);
         }
     }
@@ -331,23 +338,24 @@
         self.leadership.as_ref().is_some_and(|leadership| leadership.established)
     }
 
-    /// Answers a renewal after a majority confirmed, since it came, that this host leads.
+    /// Answers a renewal. A majority must have confirmed this host as leader since the renewal
+    /// arrived.
     pub(super) fn answer_watch(&mut self, request: &WatchRequest, writer: &LinkWriter) {
         let now = self.now();
         let node = request.node.clone();
         match self.leases.renew(now, request) {
-            RenewalStep::Grant(terms) => self.grant_lease(request, writer, terms),
-            RenewalStep::Register => {
+            RenewalAction::Grant(terms) => self.grant_lease(request, writer, terms),
+            RenewalAction::Register => {
                 let terms = LeaseTerms::with_hold(self.parts.rules_hold);
                 let origin = ProposalOrigin::Entry(request.clone(), writer.clone());
                 self.submit(&ControlCommand::RegisterEntry { node, terms }, origin);
             }
-            RenewalStep::Release => {
-                self.submit(&ControlCommand::ForgetEntry { node }, ProposalOrigin::Nobody);
+            RenewalAction::Release => {
+                self.submit(&ControlCommand::ForgetEntry { node }, ProposalOrigin::NoReply);
             }
-            RenewalStep::Ignore => {}
+            RenewalAction::Ignore => {}
         }
-        self.leases.settle(now);
+        self.leases.answer_waiting(now);
     }
 
     fn grant_lease(&mut self, request: &WatchRequest, writer: &LinkWriter, terms: LeaseTerms) {
@@ -355,7 +363,7 @@
             let snapshot = self.snapshot();
             self.snapshots.push(snapshot);
         }
-        let prints = self.take_runs(self.now(), request);
+        let prints = self.process_run_events(self.now(), request);
         let reply = WatchReply {
             nonce: request.nonce,
             terms,
@@ -363,11 +371,11 @@
             shares: self.share_limits(request),
             prints,
         };
-        // A watcher that is behind asks again; its lease runs out meanwhile.
+        // An entry whose queue is full misses this reply; its lease expires unless it renews again.
         let _ = writer.try_send(&reply);
     }
 
-    /// Shares of the limits that the renewal asks for; only a confirmed leader gets here.
+    /// Grants shares of the limits that the renewal asks for; called on a confirmed leader only.
     fn share_limits(&mut self, request: &WatchRequest) -> Vec<LimitGrant> {
         let now = self.now();
         let Some(leadership) = &self.leadership else { return Vec::new() };
@@ -390,10 +398,10 @@
         }
     }
 
-    pub(super) fn inspect(&self, what: InspectKind) -> Value {
+    pub(super) fn inspect(&self, kind: InspectKind) -> Value {
         let rules = self.state.rules.current();
         let agreement = &self.parts.agreement;
-        match what {
+        match kind {
             InspectKind::Status => json!({
                 "role": role_name(agreement.role()),
                 "term": agreement.term().0,
@@ -407,20 +415,20 @@
             }),
             InspectKind::Stops => {
                 let view = self.roster.view(&self.state.groups);
-                let drained = |group| self.roster.is_drained(&self.state.groups, group);
-                self.stops.list(&self.state.stops, &view, &self.book, drained)
+                let is_drained = |group| self.roster.is_drained(&self.state.groups, group);
+                self.stops.to_json(&self.state.stops, &view, &self.book, is_drained)
             }
             InspectKind::Groups => json!(self.roster.records(&self.state.groups)),
-            InspectKind::Account => self.counter.show(&self.book),
-            InspectKind::Quarantine => self.show_quarantine(),
-            InspectKind::Entries => self.leases.show(self.now()),
+            InspectKind::Account => self.counter.to_json(&self.book),
+            InspectKind::Quarantine => self.quarantine_json(),
+            InspectKind::Entries => self.leases.to_json(self.now()),
             InspectKind::Rules => json!({ "revision": rules.revision.0, "text": rules.text }),
         }
     }
 }
 
-/// Whether `command` takes a group apart of which a member is not connected.
-fn ends_group_with_absent(view: &FleetView, command: &ControlCommand) -> bool {
+/// Whether `command` dissolves or replaces a group that has a member without a session.
+fn ends_group_with_absent_host(view: &FleetView, command: &ControlCommand) -> bool {
     let (ControlCommand::DissolveGroup { group } | ControlCommand::ReplaceGroup { group, .. }) =
         command
     else {
--- a/crates/node/src/control/disk.rs
+++ b/crates/node/src/control/disk.rs
@@ -1,4 +1,4 @@
-//! The storage thread of the control role.
+//! The storage thread of the control role, which writes and syncs the log.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
 
 /// Starts the thread; it ends when the returned sender is dropped.
 ///
-/// The channel needs no bound of its own: a leader takes a bounded number of proposals, and a
-/// follower is sent a bounded number of bytes before it has answered.
+/// The channel is unbounded because its input is bounded: a leader accepts a limited number of
+/// proposals, and a follower is sent a limited number of bytes before it has acknowledged them.
 pub(super) fn start(
     folder: DataFolder,
     inputs: Sender<ControlInput>,
@@ -29,7 +29,7 @@
                 inputs.send(ControlInput::Stored { ticket: stored.ticket }).is_ok()
             }
             Err(error) => {
-                shared.fail(&format!("control state cannot be kept: {error}"));
+                shared.fail(&format!("cannot store the control state: {error}"));
                 false
             }
         });
--- a/crates/node/src/control/fleet.rs
+++ b/crates/node/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows of agents: who is connected and what they report.
+//! The control thread's view of the fleet: the connected agents and what they have reported.
 
 use std::time::Duration;
 
@@ -14,21 +14,22 @@
 use super::core::RECONNECT_GRACE;
 use super::input::SessionId;
 
-/// How long after a group's first host is back its report is waited for.
-const REPORT_WAIT: Duration = Duration::from_secs(1);
+/// How long a group's report is awaited after its first host has reconnected.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a host that went away is remembered.
-const FORGET_AFTER: Duration = Duration::from_secs(3600);
+/// How long a disconnected host without a group is remembered.
+const ABSENT_HOST_RETENTION: Duration = Duration::from_secs(3600);
 
 #[derive(Debug)]
 struct KnownHost {
     announcement: HostAnnouncement,
     session: Option<SessionId>,
     since: TimePoint,
-    told: Option<FencingNumber>,
-    /// Whether its group was told to leave, with the group's fencing number.
-    told_leave: Option<(FencingNumber, bool)>,
-    told_may_stop: bool,
+    /// Fencing number of the membership last sent on this session.
+    notified_fencing: Option<FencingNumber>,
+    /// Whether the group was last told to leave, with its fencing number.
+    notified_leave: Option<(FencingNumber, bool)>,
+    notified_may_stop: bool,
 }
 
 #[derive(Debug)]
@@ -38,75 +39,78 @@
     since: TimePoint,
 }
 
-/// Connected agents and the state of groups; rebuilt from reports after a restart.
+/// Connected agents and the state of groups, rebuilt from reports by every new leader.
 #[derive(Debug, Default)]
 pub(super) struct FleetRoster {
     sessions: SortedTable<SessionId, LinkWriter>,
-    /// Sessions on which nothing is said yet; see `admit`.
-    waiting: SortedTable<SessionId, LinkWriter>,
+    /// Sessions on which no directive may be sent yet; see `admit`.
+    pending: SortedTable<SessionId, LinkWriter>,
     hosts: SortedTable<HostName, KnownHost>,
     health: SortedTable<GroupId, GroupHealth>,
-    /// Fencing numbers of groups that have no work left.
+    /// First hosts of groups that have no work left, with the group's fencing number.
     drained: SortedTable<HostName, FencingNumber>,
-    /// Groups of an earlier leader whose first hosts have not reported to this one yet.
-    expected: Vec<GroupId>,
-    expected_since: Option<TimePoint>,
+    /// Groups formed before this leader's term whose first hosts have not reported to it yet.
+    awaited: Vec<GroupId>,
+    awaiting_since: Option<TimePoint>,
 }
 
 impl FleetRoster {
-    /// Takes a new session, on which nothing is said before `admit`.
+    /// Adds a new session, on which no directive is sent before `admit`.
     pub(super) fn open(&mut self, session: SessionId, writer: LinkWriter) {
-        self.waiting.insert(session, writer);
+        self.pending.insert(session, writer);
     }
 
-    /// Sessions that are not admitted yet.
-    pub(super) fn waiting(&self) -> Vec<SessionId> {
-        self.waiting.keys().copied().collect()
+    /// Sessions that have not been admitted yet.
+    pub(super) fn pending_sessions(&self) -> Vec<SessionId> {
+        self.pending.keys().copied().collect()
     }
 
-    /// Lets directives go out on `session`: a majority has confirmed since it was opened that this
-    /// host leads.
+    /// Allows directives on `session`, once a majority has confirmed after its opening that this
+    /// host is still the leader.
     ///
-    /// An agent that restarted knows no fencing number. A leader that was replaced without
-    /// noticing could give it an old assignment, and with it an order that its engine has long
-    /// outgrown.
+    /// A restarted agent has no fencing number to compare with. Without the confirmation, a leader
+    /// that was replaced without noticing could send it an old assignment, and the agent would
+    /// then send its engine an outdated order.
     pub(super) fn admit(&mut self, session: SessionId) {
-        if let Some(writer) = self.waiting.remove(&session) {
+        if let Some(writer) = self.pending.remove(&session) {
             self.sessions.insert(session, writer);
         }
     }
 
     pub(super) fn close(&mut self, now: TimePoint, session: SessionId) {
         self.sessions.remove(&session);
-        self.waiting.remove(&session);
+        self.pending.remove(&session);
         for host in self.hosts.values_mut().filter(|host| host.session == Some(session)) {
             host.session = None;
             host.since = now;
         }
     }
 
-    /// Takes a report; `true` when entries must learn of it.
-    pub(super) fn report(
+    /// Handles a report. Returns `true` when it changes the snapshot for entries.
+    pub(super) fn handle_report(
         &mut self,
         now: TimePoint,
         session: SessionId,
         report: AgentReport,
     ) -> bool {
         match report {
-            AgentReport::Announce(announcement) => self.announce(now, session, announcement),
+            AgentReport::Announce(announcement) => {
+                self.handle_announcement(now, session, announcement)
+            }
             AgentReport::GroupState { group, fencing, whole, .. } => {
-                self.group_state(now, group, fencing, whole)
+                self.handle_group_state(now, group, fencing, whole)
             }
             AgentReport::Drained { host, fencing } => {
-                log::info!(host = host.as_str(); "group has no work left");
+                log::info!(host = host.as_str(); "leaving group has no work left");
                 self.drained.insert(host, fencing);
                 false
             }
         }
     }
 
-    /// Takes an announcement; `true` when entries must learn that the agent restarted.
-    fn announce(
+    /// Handles an announcement. Returns `true` when the agent is new or has restarted, which
+    /// entries must learn.
+    fn handle_announcement(
         &mut self,
         now: TimePoint,
         session: SessionId,
@@ -118,24 +122,24 @@
         let same_session = known.is_some_and(|host| host.session == Some(session));
         let since = if same_session { known.map_or(now, |host| host.since) } else { now };
         let earlier = known.filter(|_| same_session);
-        let told = earlier.and_then(|host| host.told);
-        let told_leave = earlier.and_then(|host| host.told_leave);
-        let told_may_stop = earlier.is_some_and(|host| host.told_may_stop);
+        let notified_fencing = earlier.and_then(|host| host.notified_fencing);
+        let notified_leave = earlier.and_then(|host| host.notified_leave);
+        let notified_may_stop = earlier.is_some_and(|host| host.notified_may_stop);
         self.hosts.insert(
             announcement.host.clone(),
             KnownHost {
                 announcement,
                 session: Some(session),
                 since,
-                told,
-                told_leave,
-                told_may_stop,
+                notified_fencing,
+                notified_leave,
+                notified_may_stop,
             },
         );
         restarted
     }
 
-    fn group_state(
+    fn handle_group_state(
         &mut self,
         now: TimePoint,
         group: GroupId,
@@ -151,11 +155,11 @@
         true
     }
 
-    /// Tells every connected agent its membership, once for each fencing number.
-    pub(super) fn direct(&mut self, registry: &GroupRegistry) {
+    /// Sends every connected agent its group membership, once per fencing number.
+    pub(super) fn send_memberships(&mut self, registry: &GroupRegistry) {
         for (name, host) in self.hosts.iter_mut() {
             let binding = registry.binding(name);
-            if host.told == Some(binding.fencing) {
+            if host.notified_fencing == Some(binding.fencing) {
                 continue;
             }
             let Some(writer) = host.session.and_then(|session| self.sessions.get(&session)) else {
@@ -165,16 +169,16 @@
                 Some(group) => ControlDirective::Assign(group.assignment.clone()),
                 None => ControlDirective::Free { fencing: binding.fencing },
             };
-            // A full queue is not waited for: the directive goes out on a later tick.
+            // If the stream's queue is full, a later tick sends the directive.
             if writer.try_send(&directive).unwrap_or(false) {
-                host.told = Some(binding.fencing);
+                host.notified_fencing = Some(binding.fencing);
             }
         }
     }
 
-    /// Tells the first hosts of `leaving` groups to leave, the others to stay, and the hosts in
-    /// `stoppable` that they may stop; each once.
-    pub(super) fn direct_stops(
+    /// Directs the first hosts of `leaving` groups to leave and those of other groups to stay, and
+    /// notifies the hosts in `stoppable` that they may stop. Each directive is sent once.
+    pub(super) fn send_stop_directives(
         &mut self,
         registry: &GroupRegistry,
         leaving: &[GroupId],
@@ -185,8 +189,10 @@
             let fencing = group.assignment.fencing;
             let leaves = leaving.contains(&group.assignment.group);
             let Some(host) = self.hosts.get_mut(&first.host) else { continue };
-            // The host must know its group before it can leave it.
-            if host.told != Some(fencing) || host.told_leave == Some((fencing, leaves)) {
+            // The host must have received its assignment before it can leave the group.
+            if host.notified_fencing != Some(fencing)
+                || host.notified_leave == Some((fencing, leaves))
+            {
                 continue;
             }
             if !leaves {
@@ -199,71 +205,72 @@
             };
             let session = host.session.and_then(|session| self.sessions.get(&session));
             if session.is_some_and(|writer| writer.try_send(&directive).unwrap_or(false)) {
-                host.told_leave = Some((fencing, leaves));
+                host.notified_leave = Some((fencing, leaves));
             }
         }
         for (name, host) in self.hosts.iter_mut() {
             let may_stop = stoppable.contains(name);
-            if !may_stop || host.told_may_stop {
-                host.told_may_stop = may_stop;
+            if !may_stop || host.notified_may_stop {
+                host.notified_may_stop = may_stop;
                 continue;
             }
             let session = host.session.and_then(|session| self.sessions.get(&session));
             let directive = ControlDirective::MayStop;
-            host.told_may_stop =
+            host.notified_may_stop =
                 session.is_some_and(|writer| writer.try_send(&directive).unwrap_or(false));
         }
     }
 
-    /// Whether the first host of `group` reported that no work is left.
+    /// Whether the first host of `group` has reported that no work is left, or the group is gone.
     pub(super) fn is_drained(&self, registry: &GroupRegistry, group: GroupId) -> bool {
         let Some(group) = registry.group(group) else { return true };
         let first = group.assignment.members.first();
         first.and_then(|first| self.drained.get(&first.host)) == Some(&group.assignment.fencing)
     }
 
-    /// Takes every group of `registry` as whole until its first host reports.
+    /// Treats every group of `registry` as whole until its first host reports.
     ///
-    /// Agents need a moment to find a new leader. Calling their groups broken meanwhile would
-    /// stop entries from using replicas that serve; the agents themselves refuse what must not
-    /// run, so nothing unsafe follows from calling a broken group whole.
-    pub(super) fn expect_groups(&mut self, registry: &GroupRegistry) {
-        self.expected = registry.groups().map(|group| group.assignment.group).collect();
-        self.expected_since = None;
+    /// Agents need some time to find a new leader. Showing their groups as broken meanwhile would
+    /// stop entries from using replicas that can serve. Showing a broken group as whole is safe,
+    /// because agents refuse requests that must not run.
+    pub(super) fn await_reports(&mut self, registry: &GroupRegistry) {
+        self.awaited = registry.groups().map(|group| group.assignment.group).collect();
+        self.awaiting_since = None;
     }
 
-    /// Ends the waiting for reports that are overdue; `true` when entries must learn of it.
-    pub(super) fn settle(&mut self, now: TimePoint, registry: &GroupRegistry) -> bool {
-        let since = *self.expected_since.get_or_insert(now);
-        if self.expected.is_empty() {
+    /// Stops waiting for overdue reports. Returns `true` when that changes the snapshot for
+    /// entries.
+    pub(super) fn expire_awaited(&mut self, now: TimePoint, registry: &GroupRegistry) -> bool {
+        let since = *self.awaiting_since.get_or_insert(now);
+        if self.awaited.is_empty() {
             return false;
         }
-        let before = self.expected.len();
-        let over = now.since(since) >= RECONNECT_GRACE;
-        let mut expected = std::mem::take(&mut self.expected);
-        expected.retain(|group| !over && self.report_may_come(now, registry, *group));
-        self.expected = expected;
-        self.expected.len() != before
+        let before = self.awaited.len();
+        let grace_over = now.since(since) >= RECONNECT_GRACE;
+        let mut awaited = std::mem::take(&mut self.awaited);
+        awaited.retain(|group| !grace_over && self.may_still_report(now, registry, *group));
+        self.awaited = awaited;
+        self.awaited.len() != before
     }
 
-    fn report_may_come(&self, now: TimePoint, registry: &GroupRegistry, group: GroupId) -> bool {
+    fn may_still_report(&self, now: TimePoint, registry: &GroupRegistry, group: GroupId) -> bool {
         let first = registry.group(group).and_then(|group| group.assignment.members.first());
         let Some(first) = first.filter(|_| !self.health.contains_key(&group)) else { return false };
-        self.hosts.get(&first.host).is_none_or(|host| now.since(host.since) < REPORT_WAIT)
+        self.hosts.get(&first.host).is_none_or(|host| now.since(host.since) < REPORT_TIMEOUT)
     }
 
-    /// Forgets hosts that went away long ago and groups that are gone.
+    /// Removes hosts that have been disconnected for long, and the state of dissolved groups.
     pub(super) fn prune(&mut self, now: TimePoint, registry: &GroupRegistry) {
         self.hosts.retain(|name, host| {
             host.session.is_some()
                 || registry.binding(name).group.is_some()
-                || now.since(host.since) < FORGET_AFTER
+                || now.since(host.since) < ABSENT_HOST_RETENTION
         });
         self.health.retain(|group, _| registry.group(*group).is_some());
         self.drained.retain(|host, fencing| registry.binding(host).fencing == *fencing);
     }
 
-    /// The fleet as a planner sees it.
+    /// The fleet in the form that the planner takes.
     pub(super) fn view(&self, registry: &GroupRegistry) -> FleetView {
         let hosts = self
             .hosts
@@ -296,7 +303,7 @@
         FleetView { hosts, groups }
     }
 
-    /// The groups as entries see them.
+    /// The groups in the form that is sent to entries.
     pub(super) fn records(&self, registry: &GroupRegistry) -> Vec<GroupRecord> {
         registry
             .groups()
@@ -326,7 +333,7 @@
         self.hosts.values().filter(|host| host.session.is_some()).count()
     }
 
-    /// Whether a connected member announces another address than the group was formed with.
+    /// Whether a connected member announces a different address than in the group's assignment.
     fn has_stale_links(&self, assignment: &GroupAssignment) -> bool {
         assignment.members.iter().any(|member| {
             self.hosts
@@ -338,7 +345,7 @@
     fn is_whole(&self, group: GroupId) -> bool {
         match self.health.get(&group) {
             Some(health) => health.whole,
-            None => self.expected.binary_search(&group).is_ok(),
+            None => self.awaited.binary_search(&group).is_ok(),
         }
     }
 }
--- a/crates/node/src/control/input.rs
+++ b/crates/node/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the control thread.
+//! Inputs of the control thread.
 
 use briartray_control::agreement::PeerMessage;
 use briartray_control::state::ControlCommand;
@@ -10,19 +10,19 @@
 
 use super::origin::{InspectAnswer, ProposalAnswer};
 
-/// Number of one agent's stream, unique in the process.
+/// Identifies one agent's stream, unique in the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SessionId(pub(super) u64);
 
-/// Where the answer to one call on a ledger stream goes.
+/// Sends the answer to one call on a ledger stream.
 #[derive(Debug, Clone)]
-pub(super) struct LedgerPort {
+pub(super) struct LedgerResponder {
     pub(super) number: u64,
     pub(super) answers: Sender<LedgerAnswer>,
 }
 
-impl LedgerPort {
-    /// Answers the call; the stream may be gone.
+impl LedgerResponder {
+    /// Answers the call; does nothing if the stream has closed.
     pub(super) fn answer(&self, reply: LedgerReply) {
         let _ = self.answers.send(LedgerAnswer { number: self.number, reply });
     }
@@ -31,43 +31,43 @@
 /// One input of the control thread.
 #[derive(Debug)]
 pub(super) enum ControlInput {
-    /// Another control host said something.
+    /// A message of the agreement from another control host.
     Peer(PeerMessage),
-    /// A batch of writes is synced.
+    /// A batch of writes has been synced to disk.
     Stored { ticket: u64 },
     /// An agent opened a stream.
     FleetOpened { session: SessionId, writer: LinkWriter },
-    /// An agent reported.
+    /// An agent sent a report.
     FleetReport { session: SessionId, report: AgentReport },
-    /// An agent's stream is gone.
+    /// An agent's stream has closed.
     FleetClosed { session: SessionId },
     /// An entry renews its lease.
     Watch { request: WatchRequest, writer: LinkWriter },
-    /// An entry asks the ledger.
-    Ledger { request: LedgerRequest, port: LedgerPort },
-    /// An operator changes something.
+    /// An entry sent a request to the ledger.
+    Ledger { request: LedgerRequest, responder: LedgerResponder },
+    /// An operator proposes a change.
     Propose { command: ControlCommand, reply: Sender<ProposalAnswer> },
-    /// An operator looks at something.
-    Inspect { what: InspectKind, reply: Sender<InspectAnswer> },
-    /// The process ends.
+    /// An operator queries the state.
+    Inspect { kind: InspectKind, reply: Sender<InspectAnswer> },
+    /// The role is being stopped.
     Stop,
 }
 
-/// What an operator may look at.
+/// What an operator can query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum InspectKind {
-    /// Revision, hosts and groups in short, as far as this host knows.
+    /// Summary of role, rules revision, hosts and groups, as known to this host.
     Status,
-    /// Every group.
+    /// All groups.
     Groups,
-    /// Group downtime and stranded accelerators since this host leads.
+    /// Group downtime and stranded accelerators counted while this host led.
     Account,
     /// The rule document.
     Rules,
-    /// Every planned stop.
+    /// All planned stops.
     Stops,
-    /// Every entry that may hold a rules lease.
+    /// All entries that may hold a rules lease.
     Entries,
-    /// Requests that are refused since they crash endpoints.
+    /// Requests that are refused because they crashed endpoints.
     Quarantine,
 }
--- a/crates/node/src/control/leases.rs
+++ b/crates/node/src/control/leases.rs
@@ -1,4 +1,5 @@
-//! Rules leases on the leader: renewals, and operators who wait for a change to be in force.
+//! Rules leases on the leader: renewals by entries, and operators who wait until a change is in
+//! force.
 
 use std::time::Duration;
 
@@ -12,13 +13,13 @@
 
 use super::origin::ProposalAnswer;
 
-/// How long an operator is kept waiting for a change to be in force everywhere.
+/// How long an operator's call waits for a change to be in force on every entry.
 ///
-/// Longer than the usual bound of a lease, so that one dead entry does not show; shorter than
-/// operators' calls may take.
-const ACCEPT_WAIT: Duration = Duration::from_secs(14);
+/// Longer than a lease usually lasts, so that a single dead entry does not cause a timeout, and
+/// shorter than the timeout of operator calls.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(14);
 
-/// An operator who waits.
+/// A committed change for which an operator waits until it is in force.
 #[derive(Debug)]
 struct WaitingChange {
     revision: RevisionNumber,
@@ -26,42 +27,47 @@
     reply: Sender<ProposalAnswer>,
 }
 
-/// What is done about a renewal.
+/// How a renewal is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RenewalStep {
-    /// The lease is granted under these terms.
+pub(super) enum RenewalAction {
+    /// Grant the lease under these terms.
     Grant(LeaseTerms),
-    /// The entry must be registered first.
+    /// Register the entry first.
     Register,
-    /// The entry has stopped and is struck off.
+    /// The entry is stopping; remove its registration.
     Release,
-    /// Nothing; this host does not lead.
+    /// Do nothing: this host does not lead, or the entry is leaving and not registered.
     Ignore,
 }
 
-/// Leases of a leader's term, and who waits for them.
+/// Leases in a leader's term, and the operators' changes that wait for them.
 #[derive(Debug, Default)]
-pub(super) struct LeaseDesk {
+pub(super) struct LeaseCoordinator {
     book: Option<LeaseBook>,
     waiting: Vec<WaitingChange>,
 }
 
-impl LeaseDesk {
-    /// Begins a term of leadership.
-    pub(super) fn begin(&mut self, now: TimePoint, registered: &[(NodeName, LeaseTerms)]) {
+impl LeaseCoordinator {
+    /// Starts a term of leadership with the entries in `registered`.
+    pub(super) fn begin_term(&mut self, now: TimePoint, registered: &[(NodeName, LeaseTerms)]) {
         self.book = Some(LeaseBook::new(now, registered));
     }
 
-    /// Ends it: whoever waits asks the next leader with the same change id.
-    pub(super) fn end(&mut self) {
+    /// Ends the term. Waiting operators get `ProposalAnswer::Unknown`, and can send the same
+    /// change id to the next leader.
+    pub(super) fn end_term(&mut self) {
         self.book = None;
         for change in self.waiting.drain(..) {
             let _ = change.reply.send(ProposalAnswer::Unknown);
         }
     }
 
-    /// Takes note of a registration or of its end.
-    pub(super) fn follow(&mut self, outcome: &CommandOutcome, registered: Option<LeaseTerms>) {
+    /// Records the registration of an entry, or its removal.
+    pub(super) fn record_outcome(
+        &mut self,
+        outcome: &CommandOutcome,
+        registered: Option<LeaseTerms>,
+    ) {
         let Some(book) = &mut self.book else { return };
         match (outcome, registered) {
             (CommandOutcome::EntryRegistered { node }, Some(terms)) => book.register(node, terms),
@@ -70,21 +76,21 @@
         }
     }
 
-    /// Takes a renewal that came before a majority confirmed that this host leads.
-    pub(super) fn renew(&mut self, now: TimePoint, request: &WatchRequest) -> RenewalStep {
-        let Some(book) = &mut self.book else { return RenewalStep::Ignore };
+    /// Handles a renewal. A majority must have confirmed this host as leader after it arrived.
+    pub(super) fn renew(&mut self, now: TimePoint, request: &WatchRequest) -> RenewalAction {
+        let Some(book) = &mut self.book else { return RenewalAction::Ignore };
         if !book.is_registered(&request.node) {
-            return if request.leaving { RenewalStep::Ignore } else { RenewalStep::Register };
+            return if request.leaving { RenewalAction::Ignore } else { RenewalAction::Register };
         }
         if request.leaving {
-            return RenewalStep::Release;
+            return RenewalAction::Release;
         }
         book.adopted(&request.node, request.revision);
-        book.grant(now, &request.node).map_or(RenewalStep::Register, RenewalStep::Grant)
+        book.grant(now, &request.node).map_or(RenewalAction::Register, RenewalAction::Grant)
     }
 
-    /// Lets an operator wait until `revision` is in force everywhere.
-    pub(super) fn wait(
+    /// Adds an operator who waits until `revision` is in force on every entry.
+    pub(super) fn add_waiting(
         &mut self,
         now: TimePoint,
         revision: RevisionNumber,
@@ -93,14 +99,14 @@
         self.waiting.push(WaitingChange { revision, since: now, reply });
     }
 
-    /// Answers operators whose change is in force, or who have waited long enough.
-    pub(super) fn settle(&mut self, now: TimePoint) {
+    /// Answers the operators whose change is in force or whose wait has timed out.
+    pub(super) fn answer_waiting(&mut self, now: TimePoint) {
         let Some(book) = &self.book else { return };
         self.waiting.retain(|change| {
             let revision = change.revision;
             let answer = if book.in_force(now, revision) {
-                ProposalAnswer::Done(CommandOutcome::RulesAccepted { revision })
-            } else if now.since(change.since) >= ACCEPT_WAIT {
+                ProposalAnswer::Applied(CommandOutcome::RulesAccepted { revision })
+            } else if now.since(change.since) >= IN_FORCE_TIMEOUT {
                 let waiting_for = book.waiting_for(now, revision);
                 ProposalAnswer::Committed { revision, waiting_for }
             } else {
@@ -111,8 +117,8 @@
         });
     }
 
-    /// Every registered entry, for operators.
-    pub(super) fn show(&self, now: TimePoint) -> Value {
+    /// All registered entries, for operators.
+    pub(super) fn to_json(&self, now: TimePoint) -> Value {
         let entry_leases =
             self.book.as_ref().map(|book| book.entry_leases(now)).unwrap_or_default();
         let rows = entry_leases.into_iter().map(|(node, revision, decides)| {
--- a/crates/node/src/control/limits.rs
+++ b/crates/node/src/control/limits.rs
@@ -1,4 +1,4 @@
-//! Shares of team limits, handed out by the leader with each confirmed renewal.
+//! Shares of team limits, which the leader grants with each confirmed lease renewal.
 
 use std::time::Duration;
 
@@ -10,30 +10,31 @@
 
 use super::core::Leadership;
 
-/// Thousandths in which rates are shared out.
-const RATE_UNITS: f64 = 1000.0;
+/// Units per request per second; rates are shared as whole thousandths.
+const RATE_UNITS_PER_REQUEST: f64 = 1000.0;
 
-/// Time between two looks for shares that have run out.
+/// Time between two removals of expired shares.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One limit of one team.
+/// Limits of one team under one rule: running requests and request rate.
 #[derive(Debug)]
 struct LimitPair {
     running: LimitBook,
     rate: LimitBook,
 }
 
-/// The limits that entries asked for in the current term; soft state, bounded by the entries that
-/// renew and the teams that call.
+/// The limits of which entries requested shares in the current term.
+///
+/// Kept in memory only; its size is bounded by the entries that renew and the teams that call.
 #[derive(Debug, Default)]
 pub(super) struct LimitRegistry {
     term: TermNumber,
     limits: SortedTable<LimitKey, LimitPair>,
-    expired_at: TimePoint,
+    last_expiry: TimePoint,
 }
 
 impl LimitRegistry {
-    /// The shares for one renewal that a majority has confirmed.
+    /// Grants the shares for one renewal, for which a majority has confirmed this leader.
     pub(super) fn renew(
         &mut self,
         now: TimePoint,
@@ -63,10 +64,10 @@
     }
 
     fn expire(&mut self, now: TimePoint) {
-        if now.since(self.expired_at) < EXPIRE_INTERVAL {
+        if now.since(self.last_expiry) < EXPIRE_INTERVAL {
             return;
         }
-        self.expired_at = now;
+        self.last_expiry = now;
         self.limits.retain(|_, pair| {
             let running = pair.running.expire(now);
             pair.rate.expire(now) || running
@@ -83,7 +84,7 @@
     demand: &LimitDemand,
 ) -> Option<LimitGrant> {
     pair.running.set_limit(u64::from(action.concurrency));
-    pair.rate.set_limit((action.rate * RATE_UNITS) as u64);
+    pair.rate.set_limit((action.rate * RATE_UNITS_PER_REQUEST) as u64);
     let running = ShareRequest {
         nonce,
         demand: demand.running_demand,
@@ -101,7 +102,7 @@
     })
 }
 
-/// What the rule that the entry names allows now; `None` when the rule is gone.
+/// The current limits of the rule named in `demand`; `None` when the rule no longer exists.
 fn limit_action<'a>(book: &'a RuleBook, demand: &LimitDemand) -> Option<&'a AdmitAction> {
     let rules = &book.document().rules;
     rules.iter().find(|entry| entry.rule == demand.rule)?.then.admit.as_ref()
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,5 +1,7 @@
-//! The control role: one thread owns the state; streams, the disk and operators talk to it by
-//! channel.
+//! The control role of a daemon.
+//!
+//! One thread owns the replicated state. The threads that serve streams, the storage thread and
+//! the operator port send it their inputs through one bounded channel.
 
 mod accounting;
 mod core;
@@ -43,16 +45,16 @@
 use crate::metrics::{AgreementMetrics, GroupMetrics, MetricsHub};
 use crate::{ClockReader, DaemonError};
 
-/// Inputs that may wait for the control thread.
-const INPUT_QUEUE: usize = 4096;
+/// Capacity of the control thread's input channel.
+const INPUT_QUEUE_CAPACITY: usize = 4096;
 
-/// Operator requests that may run at one time.
+/// Operator requests that may run concurrently.
 const MAX_OPERATOR_REQUESTS: u32 = 64;
 
 /// Stack of the control thread, in bytes.
 const CONTROL_STACK_BYTES: usize = 8 * WORKER_STACK_BYTES;
 
-/// A running control role.
+/// Handle of a running control role.
 pub struct ControlNode {
     link: LinkServer,
     operator: HttpListener,
@@ -61,10 +63,11 @@
 }
 
 impl ControlNode {
-    /// Opens the data folder and starts the control thread, its link port and its operator port.
+    /// Opens the data folder and starts the control thread, the link port and the operator port.
     ///
     /// # Errors
-    /// A `DaemonError` when the data folder, a port or the first rules cannot be used.
+    /// A `DaemonError` when the data folder or the file of first rules cannot be read or is
+    /// invalid, a port cannot be bound, or a thread cannot be started.
     pub fn start(
         settings: &DaemonSettings,
         role: &ControlSettings,
@@ -76,20 +79,20 @@
         };
         let members: Vec<NodeName> =
             settings.cluster.control.iter().map(|peer| peer.node.clone()).collect();
-        let fresh = FolderId(rand::random());
+        let new_folder_id = FolderId(rand::random());
         let OpenedFolder { folder, id, recovered } = DataFolder::open(
             &role.data_folder,
             &settings.node,
             &members,
-            fresh,
+            new_folder_id,
             FileAccess::default(),
         )?;
         let clock = ClockReader::start();
-        let agreement = step_core(clock, settings, members, id, recovered);
+        let agreement = agreement_core(clock, settings, members, id, recovered);
         let shared = Arc::new(ControlShared::default());
         let agreement_metrics = metrics.add(AgreementMetrics::register);
         let group_metrics = metrics.add(GroupMetrics::register);
-        let (inputs, queue) = bounded(INPUT_QUEUE);
+        let (inputs, queue) = bounded(INPUT_QUEUE_CAPACITY);
         let handler = {
             let (inputs, shared) = (inputs.clone(), Arc::clone(&shared));
             Box::new(move |stream| streams::accept(stream, &inputs, &shared))
@@ -121,22 +124,22 @@
         Ok(Self { link, operator, inputs, shared })
     }
 
-    /// Where other processes connect.
+    /// Address of the link port, to which entries, agents and other control hosts connect.
     pub fn link_address(&self) -> SocketAddr {
         self.link.address()
     }
 
-    /// Where operators connect.
+    /// Address of the operator port.
     pub fn operator_address(&self) -> SocketAddr {
         self.operator.address()
     }
 
-    /// Why the role cannot go on, when its state can no longer be kept.
+    /// The error that stopped the role, if its state could no longer be stored or read.
     pub fn failure(&self) -> Option<&str> {
         self.shared.failure()
     }
 
-    /// Stops the role.
+    /// Closes both ports and asks the control thread to stop.
     pub fn stop(&self) {
         self.operator.stop();
         self.link.stop();
@@ -144,7 +147,7 @@
     }
 }
 
-fn step_core(
+fn agreement_core(
     clock: ClockReader,
     settings: &DaemonSettings,
     members: Vec<NodeName>,
@@ -163,9 +166,9 @@
 }
 
 fn read_first_rules(path: &Path) -> Result<String, DaemonError> {
-    let refused =
+    let invalid_rules =
         |detail: String| DaemonError::FirstRules { path: path.display().to_string(), detail };
-    let text = std::fs::read_to_string(path).map_err(|error| refused(error.to_string()))?;
-    RuleDocument::parse(&text).map_err(|error| refused(error.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|error| invalid_rules(error.to_string()))?;
+    RuleDocument::parse(&text).map_err(|error| invalid_rules(error.to_string()))?;
     Ok(text)
 }
--- a/crates/node/src/control/origin.rs
+++ b/crates/node/src/control/origin.rs
@@ -1,4 +1,4 @@
-//! Who waits for a proposal or a confirmed read, and how each is answered.
+//! Origins of proposals and confirmed reads, and how each of them is answered.
 
 use briartray_control::agreement::ProposalRefusal;
 use briartray_control::state::CommandOutcome;
@@ -8,112 +8,112 @@
 use crossbeam::channel::Sender;
 use serde_json::Value;
 
-use super::input::{InspectKind, LedgerPort, SessionId};
+use super::input::{InspectKind, LedgerResponder, SessionId};
 
-/// Who waits for the outcome of a command.
+/// Where a proposed command comes from, and who gets its outcome.
 #[derive(Debug)]
 pub(super) enum ProposalOrigin {
-    /// The planner, which looks at the state again on its next round.
+    /// The planner, which reads the state again in its next round.
     Planner,
-    /// The rules that a new cluster starts with.
+    /// The first rules of a new cluster.
     FirstRules,
     /// An operator.
     Operator(Sender<ProposalAnswer>),
-    /// An entry that asked the ledger.
-    Ledger(LedgerPort),
-    /// An entry that is registered before its renewal is answered.
+    /// An entry that sent a request to the ledger.
+    Ledger(LedgerResponder),
+    /// An entry that must be registered before its renewal is answered.
     Entry(WatchRequest, LinkWriter),
-    /// The leader, about a request in quarantine.
+    /// The quarantine tracker of the leader.
     Quarantine(RequestPrint),
-    /// Nobody; the command follows from what an entry said.
-    Nobody,
+    /// The leader on its own, for an entry that is leaving; nothing waits for the outcome.
+    NoReply,
 }
 
-/// Who waits for a majority to confirm that this host leads.
+/// Who waits until a majority has confirmed that this host is still the leader.
 #[derive(Debug)]
 pub(super) enum ReadOrigin {
     /// An entry that renews its lease.
     Watch(WatchRequest, LinkWriter),
     /// An agent that opened a session.
     Fleet(SessionId),
-    /// An operator.
+    /// An operator's query.
     Inspect(InspectKind, Sender<InspectAnswer>),
 }
 
-/// What became of an operator's command.
+/// Result of an operator's command.
 #[derive(Debug)]
 pub(super) enum ProposalAnswer {
-    /// It was committed and applied.
-    Done(CommandOutcome),
-    /// It was committed, and some entries may still decide under older rules.
+    /// The command was committed and applied.
+    Applied(CommandOutcome),
+    /// The change was committed, but some entries may still decide under older rules.
     Committed { revision: RevisionNumber, waiting_for: Vec<NodeName> },
-    /// Nothing of it was kept.
+    /// The command was refused and will not be applied.
     Refused(ProposalRefusal),
-    /// Leadership ended before it was committed; another leader may still commit it.
+    /// Leadership ended before the outcome was known; another leader may still commit the command.
     Unknown,
 }
 
-/// What an operator sees.
+/// Answer to an operator's query.
 #[derive(Debug)]
 pub(super) enum InspectAnswer {
-    /// What was asked for.
-    Shown(Value),
-    /// Another host leads, or none does.
+    /// The JSON body of the answer.
+    Body(Value),
+    /// This host does not lead; names the leader if it is known.
     NotLeader(Option<NodeName>),
 }
 
 impl ProposalOrigin {
-    /// Tells the outcome of a command that was applied.
-    pub(super) fn done(self, outcome: CommandOutcome) {
+    /// Reports the outcome of a command that was applied.
+    pub(super) fn report_outcome(self, outcome: CommandOutcome) {
         match self {
-            Self::Planner => log::info!("plan: {outcome:?}"),
-            Self::FirstRules => log::info!("first rules: {outcome:?}"),
-            // The core answers the renewal itself; see `apply_command`.
-            Self::Entry(..) | Self::Nobody => {}
-            Self::Quarantine(_) => log::info!("quarantine: {outcome:?}"),
+            Self::Planner => log::info!("command of the planner applied: {outcome:?}"),
+            Self::FirstRules => log::info!("proposal of the first rules applied: {outcome:?}"),
+            // `ControlCore::apply_command` answers the renewal of an entry.
+            Self::Entry(..) | Self::NoReply => {}
+            Self::Quarantine(_) => log::info!("change of the quarantine applied: {outcome:?}"),
             Self::Operator(reply) => {
-                let _ = reply.send(ProposalAnswer::Done(outcome));
+                let _ = reply.send(ProposalAnswer::Applied(outcome));
             }
-            Self::Ledger(port) => {
+            Self::Ledger(responder) => {
                 let reply = match outcome {
                     CommandOutcome::Ledger(reply) => reply,
                     _ => LedgerReply::Unavailable,
                 };
-                port.answer(reply);
+                responder.answer(reply);
             }
         }
     }
 
-    /// Tells that nothing was kept.
-    pub(super) fn refused(self, refusal: ProposalRefusal) {
+    /// Reports that the command was refused and will not be applied.
+    pub(super) fn report_refusal(self, refusal: ProposalRefusal) {
         match self {
             Self::Operator(reply) => {
                 let _ = reply.send(ProposalAnswer::Refused(refusal));
             }
-            other => other.unknown(),
+            other => other.report_unknown(),
         }
     }
 
-    /// Tells that leadership ended before the command was committed.
-    pub(super) fn unknown(self) {
+    /// Reports that leadership ended before the command was committed.
+    pub(super) fn report_unknown(self) {
         match self {
             Self::Planner
             | Self::FirstRules
             | Self::Entry(..)
             | Self::Quarantine(_)
-            | Self::Nobody => {}
+            | Self::NoReply => {}
             Self::Operator(reply) => {
                 let _ = reply.send(ProposalAnswer::Unknown);
             }
-            Self::Ledger(port) => port.answer(LedgerReply::Unavailable),
+            Self::Ledger(responder) => responder.answer(LedgerReply::Unavailable),
         }
     }
 }
 
 impl ReadOrigin {
-    /// Tells that this host does not lead. A watcher is not answered: its stream ends, and it
-    /// asks another control host.
-    pub(super) fn not_leader(self, leader: Option<NodeName>) {
+    /// Answers an operator that this host does not lead. Entries and agents get no answer: their
+    /// streams are closed, and they connect to another control host.
+    pub(super) fn report_not_leader(self, leader: Option<NodeName>) {
         if let Self::Inspect(_, reply) = self {
             let _ = reply.send(InspectAnswer::NotLeader(leader));
         }
--- a/crates/node/src/control/peers.rs
+++ b/crates/node/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Links to the other control hosts, one stream and one thread for each.
+//! Links to the other control hosts, with one stream and one thread per host.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 
 use crate::DaemonError;
 
-/// Messages that may wait for one peer; the agreement makes up for those that find no room.
-const PEER_QUEUE: usize = 64;
+/// Capacity of one peer's queue; the agreement recovers from messages that are dropped.
+const PEER_QUEUE_CAPACITY: usize = 64;
 
-/// Time to connect to another control host.
+/// Timeout for connecting to another control host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Queues to the other control hosts.
+/// Outgoing message queues of the other control hosts.
 #[derive(Debug)]
 pub(super) struct PeerLinks {
     queues: SortedTable<NodeName, Sender<PeerMessage>>,
 }
 
 impl PeerLinks {
-    /// Starts a thread for each of `peers` but `own`.
+    /// Starts a sender thread for each of `peers` except `own`.
     pub(super) fn start(
         token: &str,
         own: &NodeName,
@@ -35,7 +35,7 @@
         let client = LinkClient::start("peer-link", settings)?;
         let mut queues = SortedTable::new();
         for peer in peers.iter().filter(|peer| peer.node != *own) {
-            let (sender, queue) = bounded(PEER_QUEUE);
+            let (sender, queue) = bounded(PEER_QUEUE_CAPACITY);
             let (client, address) = (client.clone(), peer.link);
             spawn_worker("peer", WORKER_STACK_BYTES, move || {
                 carry_messages(&client, address, CallKind::Peer, &queue)
@@ -45,7 +45,7 @@
         Ok(Self { queues })
     }
 
-    /// Sends `message` unless the peer is too far behind.
+    /// Queues `message`, or drops it if the peer's queue is full.
     pub(super) fn send(&self, to: &NodeName, message: PeerMessage) {
         if let Some(queue) = self.queues.get(to) {
             let _ = queue.try_send(message);
--- a/crates/node/src/control/planning.rs
+++ b/crates/node/src/control/planning.rs
@@ -1,4 +1,4 @@
-//! Running the planner on the live fleet and logging what it decides.
+//! Runs the group planner on the live fleet and logs its decisions.
 
 use briartray_control::state::ControlCommand;
 use briartray_model::TimePoint;
@@ -7,15 +7,15 @@
     FleetView, GroupPlanner, PlanDecision, PlanReason, PlanRound, command_for,
 };
 
-/// Plans groups and keeps what the planner remembers between rounds.
+/// The planner with its state between rounds, and the waits that are logged already.
 #[derive(Debug, Default)]
 pub(super) struct PlanDriver {
     planner: GroupPlanner,
-    waits: Vec<PlanDecision>,
+    logged_waits: Vec<PlanDecision>,
 }
 
 impl PlanDriver {
-    /// The commands of one round of planning.
+    /// Runs one round of planning and returns its commands.
     pub(super) fn step(
         &mut self,
         now: TimePoint,
@@ -27,16 +27,19 @@
         round.actions.iter().filter_map(|action| command_for(view, book, action)).collect()
     }
 
-    /// Logs what is done and which groups are newly waited for.
+    /// Logs every action, and every wait that did not exist in the previous round.
     fn log_changes(&mut self, round: &PlanRound) {
-        let (waits, done): (Vec<_>, Vec<_>) = round.decisions.iter().partition(|decision| {
-            matches!(decision.reason, PlanReason::WaitForReturn | PlanReason::WaitNoSpare)
-        });
-        let known = |decision: &PlanDecision| {
-            self.waits.iter().any(|d| d.group == decision.group && d.reason == decision.reason)
+        let (waits, action_decisions): (Vec<_>, Vec<_>) =
+            round.decisions.iter().partition(|decision| {
+                matches!(decision.reason, PlanReason::WaitForReturn | PlanReason::WaitNoSpare)
+            });
+        let is_logged = |decision: &PlanDecision| {
+            self.logged_waits
+                .iter()
+                .any(|d| d.group == decision.group && d.reason == decision.reason)
         };
-        let news = waits.iter().copied().filter(|decision| !known(decision));
-        for decision in done.into_iter().chain(news) {
+        let new_waits = waits.iter().copied().filter(|decision| !is_logged(decision));
+        for decision in action_decisions.into_iter().chain(new_waits) {
             log::info!(
                 service = decision.service.as_str(),
                 group = decision.group.map_or(0, |group| group.0),
@@ -45,6 +48,6 @@
                 "plan decision: {:?}", decision.reason
             );
         }
-        self.waits = waits.into_iter().cloned().collect();
+        self.logged_waits = waits.into_iter().cloned().collect();
     }
 }
--- a/crates/node/src/control/quarantine.rs
+++ b/crates/node/src/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! The leader's part in keeping requests that crash endpoints away from them.
+//! How the leader quarantines requests that crash endpoints.
 
 use briartray_control::state::ControlCommand;
 use briartray_model::TimePoint;
@@ -10,8 +10,9 @@
 use super::origin::ProposalOrigin;
 
 impl ControlCore {
-    /// Takes the runs that a renewal reports, and tells what its entry lacks of the quarantine.
-    pub(super) fn take_runs(
+    /// Processes the run events of a renewal. Returns the quarantined fingerprints if the entry's
+    /// copy is outdated.
+    pub(super) fn process_run_events(
         &mut self,
         now: TimePoint,
         request: &WatchRequest,
@@ -21,7 +22,10 @@
         }
         for record in self.quarantine.take_fatal() {
             let (print, crashes) = (record.print, record.endpoints.len());
-            log::warn!(print:%, rule = record.rule; "a request crashed {crashes} endpoints");
+            log::warn!(
+                print:%, rule = record.rule;
+                "a request crashed {crashes} endpoints; quarantining its fingerprint"
+            );
             self.submit(&ControlCommand::Quarantine(record), ProposalOrigin::Quarantine(print));
         }
         let term = self.leadership.as_ref()?.term;
@@ -29,16 +33,16 @@
         (view.version != request.prints).then(|| view.clone())
     }
 
-    /// Forgets crashes that count no more, and lets out what was in quarantine for long.
-    pub(super) fn keep_quarantine(&mut self, now: TimePoint) {
+    /// Drops crashes that no longer count, and proposes to lift quarantines that have expired.
+    pub(super) fn expire_quarantine(&mut self, now: TimePoint) {
         for print in self.quarantine.keep(now, &self.state.quarantine) {
             let origin = ProposalOrigin::Quarantine(print);
             self.submit(&ControlCommand::LiftQuarantine { print }, origin);
         }
     }
 
-    /// The requests in quarantine, the oldest first.
-    pub(super) fn show_quarantine(&self) -> Value {
+    /// The requests in quarantine, oldest first, for operators.
+    pub(super) fn quarantine_json(&self) -> Value {
         let records = self.state.quarantine.records();
         json!(records.iter().map(QuarantineRecord::shown).collect::<Vec<_>>())
     }
--- a/crates/node/src/control/replication.rs
+++ b/crates/node/src/control/replication.rs
@@ -1,4 +1,4 @@
-//! What the control thread does with the output of the agreement.
+//! How the control thread handles the output of the agreement.
 
 use briartray_control::agreement::{
     CommittedEntry, EntryPayload, LogDelivery, LogSnapshot, MemberRole,
@@ -17,13 +17,13 @@
 use crate::new_change;
 
 impl ControlCore {
-    /// Carries out everything that follows from the steps so far; `true` when something was
-    /// applied, from which more may follow.
-    pub(super) fn advance(&mut self) -> bool {
+    /// Handles everything that the agreement has output so far. Returns `true` when a log entry
+    /// was applied, which may have caused more output.
+    pub(super) fn process_output(&mut self) -> bool {
         let now = self.now();
         let output = self.parts.agreement.drain(now);
         if let Some(batch) = output.batch {
-            // A closed channel means that the storage thread has failed and the process ends.
+            // The channel is closed only when the storage thread has failed and the process ends.
             let _ = self.parts.disk.send(batch);
         }
         for (to, message) in output.messages {
@@ -31,10 +31,10 @@
         }
         for token in output.lost {
             if let Some(origin) = self.proposals.remove(&token) {
-                self.lose(origin);
+                self.report_unknown(origin);
             }
         }
-        self.note_role();
+        self.update_leadership();
         let applied = !output.deliveries.is_empty();
         for delivery in output.deliveries {
             match delivery {
@@ -47,7 +47,7 @@
         }
         for token in output.unconfirmed {
             if let Some(origin) = self.reads.remove(&token) {
-                origin.not_leader(self.parts.agreement.leader().cloned());
+                origin.report_not_leader(self.parts.agreement.leader().cloned());
             }
         }
         for token in output.confirmed {
@@ -60,26 +60,27 @@
         applied
     }
 
-    /// Begins or ends leadership as the agreement says.
-    fn note_role(&mut self) {
+    /// Starts or ends leadership when the agreement's role or term has changed.
+    fn update_leadership(&mut self) {
         let term = self.parts.agreement.term();
         let leads = self.parts.agreement.role() == MemberRole::Leader;
-        let known = self.leadership.as_ref().map(|leadership| leadership.term);
-        if known == leads.then_some(term) {
+        let led_term = self.leadership.as_ref().map(|leadership| leadership.term);
+        if led_term == leads.then_some(term) {
             return;
         }
-        // Agents open new sessions with whoever leads; what the old ones said is out of date.
+        // Agents open new sessions with the new leader; reports of the old sessions are outdated.
         self.roster = FleetRoster::default();
         self.planner = PlanDriver::default();
         self.stops = StopDriver::default();
         self.quarantine = QuarantineTracker::default();
-        self.leases.end();
+        self.leases.end_term();
         self.snapshots.clear();
         self.leadership = None;
         if leads {
             let since = self.now();
             self.version = SnapshotVersion::first_of(term);
-            self.leadership = Some(Leadership { term, since, established: false, plans_open: 0 });
+            self.leadership =
+                Some(Leadership { term, since, established: false, pending_plans: 0 });
         }
         self.parts.shared.set_leading(leads.then_some(term.0));
     }
@@ -90,7 +91,7 @@
         if matches!(origin, Some(ProposalOrigin::Planner))
             && let Some(leadership) = &mut self.leadership
         {
-            leadership.plans_open = leadership.plans_open.saturating_sub(1);
+            leadership.pending_plans = leadership.pending_plans.saturating_sub(1);
         }
         let own_term = self.leadership.as_ref().is_some_and(|lead| lead.term == entry.term);
         match entry.payload {
@@ -104,47 +105,51 @@
         let command: ControlCommand = match codec::decode(bytes) {
             Ok(command) => command,
             Err(error) => {
-                // Skipping it would make this copy differ from the others.
-                return self.parts.shared.fail(&format!("a committed command: {error}"));
+                // Skipping the command would make this replica's state diverge from the others.
+                return self.parts.shared.fail(&format!("cannot decode a command: {error}"));
             }
         };
         let outcome = self.state.apply(&command);
-        self.follow_up(&outcome);
+        self.update_after(&outcome);
         let terms = match &command {
             ControlCommand::RegisterEntry { terms, .. } => Some(*terms),
             _ => None,
         };
-        self.leases.follow(&outcome, terms);
+        self.leases.record_outcome(&outcome, terms);
         match (origin, &outcome) {
             (Some(ProposalOrigin::Operator(reply)), CommandOutcome::RulesAccepted { revision }) => {
-                // Committed is not enough: entries may still decide under older rules.
+                // A committed change is not yet in force: entries may still decide under older
+                // rules, so the operator waits for their leases.
                 let now = self.now();
-                self.leases.wait(now, *revision, reply);
-                self.leases.settle(now);
+                self.leases.add_waiting(now, *revision, reply);
+                self.leases.answer_waiting(now);
             }
             (
                 Some(ProposalOrigin::Entry(request, writer)),
                 CommandOutcome::EntryRegistered { .. },
             ) => self.answer_watch(&request, &writer),
             (Some(ProposalOrigin::Entry(request, _)), refused) => {
-                log::error!(entry = request.node.as_str(); "an entry gets no lease: {refused:?}");
+                log::error!(
+                    entry = request.node.as_str();
+                    "cannot register an entry; it gets no lease: {refused:?}"
+                );
             }
-            (Some(origin), _) => origin.done(outcome),
+            (Some(origin), _) => origin.report_outcome(outcome),
             (None, _) => {}
         }
     }
 
-    /// Starts to act as leader: everything that was committed before is applied here now.
+    /// Starts to act as leader, now that all entries committed in earlier terms have been applied.
     fn establish(&mut self) {
         let Some(leadership) = &mut self.leadership else { return };
         leadership.established = true;
         let now = self.parts.clock.now();
-        self.leases.begin(now, &self.state.entries.registered());
+        self.leases.begin_term(now, &self.state.entries.registered());
         self.version.bump();
-        self.roster.expect_groups(&self.state.groups);
+        self.roster.await_reports(&self.state.groups);
         let unset = self.state.rules.current().revision == RevisionNumber::default();
         if let Some(text) = self.parts.first_rules.clone().filter(|_| unset) {
-            // Compared with revision zero, so that it counts only when nothing came first.
+            // Expects revision 0, so the rules are accepted only if no others were accepted first.
             let expect = Some(RevisionNumber::default());
             let command = ControlCommand::ApplyRules { change: new_change(), expect, text };
             self.submit(&command, ProposalOrigin::FirstRules);
@@ -154,10 +159,10 @@
     fn restore(&mut self, snapshot: &LogSnapshot) {
         match ControlState::decode(&snapshot.data) {
             Ok(state) => self.state = state,
-            Err(error) => return self.parts.shared.fail(&format!("a snapshot: {error}")),
+            Err(error) => return self.parts.shared.fail(&format!("unreadable snapshot: {error}")),
         }
         self.parts.metrics.restored();
-        self.adopt_rules();
+        self.load_rules();
     }
 
     fn answer_read(&mut self, origin: ReadOrigin) {
@@ -165,10 +170,10 @@
             ReadOrigin::Watch(request, writer) => self.answer_watch(&request, &writer),
             ReadOrigin::Fleet(session) => {
                 self.roster.admit(session);
-                self.roster.direct(&self.state.groups);
+                self.roster.send_memberships(&self.state.groups);
             }
-            ReadOrigin::Inspect(what, reply) => {
-                let _ = reply.send(InspectAnswer::Shown(self.inspect(what)));
+            ReadOrigin::Inspect(kind, reply) => {
+                let _ = reply.send(InspectAnswer::Body(self.inspect(kind)));
             }
         }
     }
@@ -179,7 +184,7 @@
         }
         match self.state.encode() {
             Ok(data) => self.parts.agreement.compact(data),
-            Err(error) => self.parts.shared.fail(&format!("the state: {error}")),
+            Err(error) => self.parts.shared.fail(&format!("cannot encode the state: {error}")),
         }
     }
 }
--- a/crates/node/src/control/shared.rs
+++ b/crates/node/src/control/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread tells the threads around it.
+//! State that the control thread shares with the other threads of its role.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +6,7 @@
 /// Leadership and failure of one control host.
 #[derive(Debug, Default)]
 pub(super) struct ControlShared {
-    /// Term in which this host leads; zero when it does not.
+    /// Term in which this host leads; 0 when it does not.
     leading: AtomicU64,
     failure: OnceLock<String>,
 }
@@ -21,18 +21,18 @@
         self.leading.store(term.unwrap_or(0), Ordering::SeqCst);
     }
 
-    /// Why the process must end, if it must.
+    /// The error for which the process must end, if any.
     pub(super) fn failure(&self) -> Option<&str> {
         self.failure.get().map(String::as_str)
     }
 
-    /// Keeps the first reason and ends the process as a signal would, so that the other roles
-    /// stop in order.
+    /// Records `detail` as the failure unless there is one already, and raises SIGTERM so that the
+    /// other roles shut down in order.
     pub(super) fn fail(&self, detail: &str) {
         log::error!("{detail}");
         let _ = self.failure.set(detail.to_owned());
         if let Err(error) = signal_hook::low_level::raise(signal_hook::consts::SIGTERM) {
-            log::error!("cannot end the process by itself: {error}");
+            log::error!("cannot raise SIGTERM; stop the process by hand: {error}");
         }
     }
 }
--- a/crates/node/src/control/tests.rs
+++ b/crates/node/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! What a new leader makes of groups whose agents it has not heard yet.
+//! How a new leader shows groups whose agents have not reported to it yet.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -57,52 +57,52 @@
 
 fn new_leader(registry: &GroupRegistry) -> FleetRoster {
     let mut roster = FleetRoster::default();
-    roster.expect_groups(registry);
-    roster.settle(START, registry);
+    roster.await_reports(registry);
+    roster.expire_awaited(START, registry);
     roster
 }
 
 #[test]
 fn group_counts_as_whole_until_its_first_host_reports() {
-    // Right after a change of leader no agent has reported. Entries that were shown every group
-    // as broken would refuse all requests although every replica serves.
+    // Right after a change of leader no agent has reported yet. If the snapshot showed every group
+    // as broken, entries would refuse all requests although all replicas serve.
     let (registry, group, fencing) = registry();
     let mut roster = new_leader(&registry);
 
-    let unheard = shows_whole(&roster, &registry);
+    let whole_before_report = shows_whole(&roster, &registry);
     let report = AgentReport::GroupState { group, fencing, whole: false, missing: Vec::new() };
-    let news = roster.report(START, SessionId(1), report);
+    let changed = roster.handle_report(START, SessionId(1), report);
 
-    assert!(unheard);
-    assert!(news);
+    assert!(whole_before_report);
+    assert!(changed);
     assert!(!shows_whole(&roster, &registry));
 }
 
 #[test]
-fn first_host_that_is_back_without_a_report_ends_the_waiting() {
-    // The first host's agent was restarted and leads no group any more. The others need not wait
-    // the whole grace to learn that this group serves nothing.
+fn reconnected_first_host_without_a_report_ends_the_wait() {
+    // The first host's agent has restarted and no longer leads the group. Entries should not have
+    // to wait for the whole grace period to learn that the group does not serve.
     let (registry, ..) = registry();
     let mut roster = new_leader(&registry);
-    roster.report(START, SessionId(1), announcement("h1"));
+    roster.handle_report(START, SessionId(1), announcement("h1"));
 
-    let early = roster.settle(START.after(Duration::from_millis(500)), &registry);
-    let late = roster.settle(START.after(Duration::from_millis(1500)), &registry);
+    let early = roster.expire_awaited(START.after(Duration::from_millis(500)), &registry);
+    let late = roster.expire_awaited(START.after(Duration::from_millis(1500)), &registry);
 
     assert_eq!((early, late), (false, true));
     assert!(!shows_whole(&roster, &registry));
 }
 
 #[test]
-fn group_that_stays_silent_is_broken_after_the_grace() {
-    // All hosts of a group went away together with the leader. Entries must not be sent there
-    // for ever.
+fn silent_group_is_broken_after_the_reconnect_grace() {
+    // All hosts of a group failed together with the old leader. Entries must not be shown the
+    // group as whole forever.
     let (registry, ..) = registry();
     let mut roster = new_leader(&registry);
 
-    let before = roster.settle(START.after(RECONNECT_GRACE / 2), &registry);
+    let before = roster.expire_awaited(START.after(RECONNECT_GRACE / 2), &registry);
     let whole_before = shows_whole(&roster, &registry);
-    let after = roster.settle(START.after(RECONNECT_GRACE), &registry);
+    let after = roster.expire_awaited(START.after(RECONNECT_GRACE), &registry);
 
     assert_eq!((before, whole_before, after), (false, true, true));
     assert!(!shows_whole(&roster, &registry));
@@ -110,8 +110,8 @@
 
 #[test]
 fn versions_of_a_later_leader_are_higher() {
-    // An entry compares versions by number: with equal ones for different snapshots it would
-    // keep the old leader's groups.
+    // Entries compare snapshots by version number. If two leaders used the same number, an entry
+    // would keep the old leader's groups.
     let mut old = SnapshotVersion::first_of(TermNumber(4));
     for _ in 0..100_000 {
         old.bump();
--- a/crates/node/src/control/version.rs
+++ b/crates/node/src/control/version.rs
@@ -1,17 +1,19 @@
-//! Versions of the snapshot that entries compare.
+//! Versions of the routing snapshot, which entries compare.
 
 use briartray_model::names::TermNumber;
 
-/// Bits for the changes of one term.
+/// Bits of a version that count the changes of one term.
 const COUNT_BITS: u32 = 32;
 
-/// Grows with every change and with every new leader: the term stands before a count, so two
-/// leaders never use one version for different snapshots.
+/// A version that grows with every change and every new leader.
+///
+/// The term is in the high bits and a counter in the low ones, so two leaders never use the same
+/// version for different snapshots.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct SnapshotVersion(u64);
 
 impl SnapshotVersion {
-    /// The first version of a leader.
+    /// The first version of the leader of `term`.
     pub(super) fn first_of(term: TermNumber) -> Self {
         Self((term.0 << COUNT_BITS) + 1)
     }
@@ -20,7 +22,7 @@
         self.0
     }
 
-    /// Marks a change.
+    /// Advances the version after a change of the snapshot.
     pub(super) fn bump(&mut self) {
         self.0 += 1;
     }
