--- a/crates/fleet/src/deployment/engine.rs
+++ b/crates/fleet/src/deployment/engine.rs
@@ -78,7 +78,7 @@
     /// steps between two scheduling points with all slots in decode, plus the prefill that fits
     /// into these steps.
     pub fn longest_event_gap(&self, model: &ModelSpec) -> Duration {
-        let steps = self.pass_ms(self.slots as f64);
+        let steps = self.stride_ms(self.slots as f64);
         let reading = f64::from(self.stride) * f64::from(self.chunk) / self.read_rate * 1e3;
         Duration::from_secs_f64((steps + reading) * model.pace / 1e3)
     }
@@ -93,7 +93,7 @@
     pub fn work_ms(&self, model: &ModelSpec, prompt: u32, answer: u32) -> f64 {
         let writers = self.slots as f64 * TYPICAL_DECODE_FRACTION;
         let events = self.events(answer);
-        (self.read_ms(prompt) + events * self.pass_ms(writers) / writers) * model.pace
+        (self.prefill_ms(prompt) + events * self.stride_ms(writers) / writers) * model.pace
     }
 
     /// Returns the number of events in an answer of `tokens` tokens.
@@ -103,13 +103,13 @@
 
     /// Returns the time between two scheduling points with `writers` requests in decode, in
     /// milliseconds, before the pace factor of the model.
-    pub fn pass_ms(&self, writers: f64) -> f64 {
+    pub fn stride_ms(&self, writers: f64) -> f64 {
         f64::from(self.stride) * self.step_ms(writers, TYPICAL_CONTEXT_TOKENS)
     }
 
     /// Returns the time to prefill a prompt of `tokens` tokens, in milliseconds, before the pace
     /// factor of the model.
-    pub fn read_ms(&self, tokens: u32) -> f64 {
+    pub fn prefill_ms(&self, tokens: u32) -> f64 {
         let tokens = f64::from(tokens);
         let pairs = tokens * tokens / 2.0 / 1e6;
         tokens / self.read_rate * 1e3 + pairs * self.pairs_ms
--- a/crates/fleet/src/deployment/mod.rs
+++ b/crates/fleet/src/deployment/mod.rs
@@ -8,6 +8,6 @@
 pub use book::{RouteBook, TeamAccess};
 pub use engine::{EngineModel, ModelSpec};
 pub use plan::{
-    CallerLimits, ColdTerms, DeploymentPlan, PlanProblem, RepeatKind, RouteRule, ServiceSpec,
+    CallerLimits, ColdTerms, DeploymentPlan, PlanError, RepeatKind, RouteRule, ServiceSpec,
     TeamKeys, WeightedTarget,
 };
--- a/crates/fleet/src/deployment/plan.rs
+++ b/crates/fleet/src/deployment/plan.rs
@@ -134,7 +134,7 @@
 
 /// Reason why a deployment plan is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-pub enum PlanProblem {
+pub enum PlanError {
     /// The text is not a valid configuration.
     #[snafu(display("the configuration is not valid: {detail}; send a complete one"))]
     Unreadable {
@@ -185,8 +185,8 @@
     /// Checks the whole plan.
     ///
     /// # Errors
-    /// The first `PlanProblem` that is found.
-    pub fn check(&self) -> Result<(), PlanProblem> {
+    /// The first `PlanError` that is found.
+    pub fn check(&self) -> Result<(), PlanError> {
         self.routes.iter().try_for_each(|route| self.check_route(route))?;
         self.check_duplicate_routes()?;
         self.check_keys()
@@ -197,7 +197,7 @@
         self.services.iter().find(|service| service.name == *name)
     }
 
-    fn check_route(&self, route: &RouteRule) -> Result<(), PlanProblem> {
+    fn check_route(&self, route: &RouteRule) -> Result<(), PlanError> {
         let name = || route.name.clone();
         ensure!(!route.timeout.is_zero(), ZeroTimeoutSnafu { route: name() });
         for target in &route.targets {
@@ -210,7 +210,7 @@
         Ok(())
     }
 
-    fn check_duplicate_routes(&self) -> Result<(), PlanProblem> {
+    fn check_duplicate_routes(&self) -> Result<(), PlanError> {
         let mut route_keys: Vec<(&str, &str)> =
             self.routes.iter().map(|route| (&*route.host, &*route.prefix)).collect();
         route_keys.sort_unstable();
@@ -220,7 +220,7 @@
         }
     }
 
-    fn check_keys(&self) -> Result<(), PlanProblem> {
+    fn check_keys(&self) -> Result<(), PlanError> {
         let mut keys: Vec<(&str, &str)> = self
             .teams
             .iter()
--- a/crates/fleet/src/director/group.rs
+++ b/crates/fleet/src/director/group.rs
@@ -143,7 +143,7 @@
         state: &'a FleetState,
         plan: &'a DeploymentPlan,
     ) -> Self {
-        Self { now, hosts, pulses, plan, leaving: state.leaving_by_name() }
+        Self { now, hosts, pulses, plan, leaving: state.sorted_leaving() }
     }
 
     /// Looks up the members of a group.
--- a/crates/fleet/src/director/plan/lateness.rs
+++ b/crates/fleet/src/director/plan/lateness.rs
@@ -82,7 +82,7 @@
 fn capacity(engine: &EngineModel, model: &ModelSpec, model_demand: &WorkSum) -> f64 {
     let writers = engine.slots as f64 * MAX_SLOT_USE;
     let each = model_demand.times(1.0 / model_demand.requests);
-    1e3 / (each.reading_ms + each.events * engine.pass_ms(writers) * model.pace / writers)
+    1e3 / (each.reading_ms + each.events * engine.stride_ms(writers) * model.pace / writers)
 }
 
 /// Fraction of late answers in a group that takes `rate` requests per second.
@@ -96,8 +96,8 @@
     let rate = rate / 1e3;
     // A pass of w writers takes base + slope w besides its reading. The number of writers is such
     // that events come as fast as they are requested: w = pass rate events.
-    let base = engine.pass_ms(0.0) * model.pace;
-    let slope = engine.pass_ms(1.0) * model.pace - base;
+    let base = engine.stride_ms(0.0) * model.pace;
+    let slope = engine.stride_ms(1.0) * model.pace - base;
     let idle = 1.0 - rate * (each.reading_ms + each.events * slope);
     let pass = base / idle.max(f64::EPSILON);
     let writing = base + slope * pass * rate * each.events;
--- a/crates/fleet/src/director/planning.rs
+++ b/crates/fleet/src/director/planning.rs
@@ -205,7 +205,7 @@
     ) -> PlanView<'a> {
         self.clear_finished_staging(now);
         let index = MemberIndex::new(state);
-        let leaving = state.leaving_by_name();
+        let leaving = state.sorted_leaving();
         let usable = |id: &IncarnationId, host: &HostRecord| {
             // Without a domain it is no group host of this service; after a missed probe it most
             // likely broke its group; the weights of an inherited host are unknown until it is
--- a/crates/fleet/src/director/pulse.rs
+++ b/crates/fleet/src/director/pulse.rs
@@ -17,7 +17,7 @@
 use briartray_model::names::{GroupId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
 
-use crate::entry::report_pause;
+use crate::entry::report_interval;
 use crate::message::{GroupLoad, GroupPulse};
 
 /// Time that an observation counts beyond the interval between two reports of its entry.
@@ -118,7 +118,7 @@
 
     /// Whether an entry got bytes of the group within `limit` before its newest observation.
     pub fn is_active(&self, now: TimePoint, group: GroupId, limit: Duration) -> bool {
-        let lifetime = report_pause(self.entry_count) + REPORT_GRACE;
+        let lifetime = report_interval(self.entry_count) + REPORT_GRACE;
         self.observations(group).any(|observation| {
             let is_current = now.since(observation.reported_at) < lifetime;
             is_current
--- a/crates/fleet/src/entry/answer_timeout.rs
+++ b/crates/fleet/src/entry/answer_timeout.rs
@@ -25,12 +25,12 @@
 
 /// Timeout for an answer of one control host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerWait {
+pub struct AnswerTimeout {
     waiting_since: Option<TimePoint>,
     timeout: Duration,
 }
 
-impl AnswerWait {
+impl AnswerTimeout {
     /// Starts at `now`, for a host that is said to be the leader.
     pub fn new(now: TimePoint) -> Self {
         Self { waiting_since: Some(now), timeout: ANSWER_TIMEOUT }
@@ -48,7 +48,7 @@
     }
 
     /// Records that a report was sent.
-    pub fn asked(&mut self, now: TimePoint) {
+    pub fn report_sent(&mut self, now: TimePoint) {
         self.waiting_since.get_or_insert(now);
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Whether the entry should try another control host.
-    pub fn is_over(&self, now: TimePoint) -> bool {
+    pub fn is_expired(&self, now: TimePoint) -> bool {
         self.waiting_since.is_some_and(|since| now.since(since) >= self.timeout)
     }
 }
--- a/crates/fleet/src/entry/attempt.rs
+++ b/crates/fleet/src/entry/attempt.rs
@@ -19,20 +19,20 @@
 
 /// Next step for a request after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NextMove {
+pub enum NextStep {
     /// Send the request to another replica.
-    SendAgain,
+    RetryElsewhere,
     /// Tell the caller that the request did not run, and when to retry.
     Refuse,
     /// Tell the caller that the outcome is unknown.
     Unknown,
     /// Return the failure answer of the replica to the caller.
-    PassOn,
+    ForwardFailure,
 }
 
 /// State of one request between attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptPlan {
+pub struct RetryState {
     /// Whether the request may be repeated.
     pub kind: RepeatKind,
     /// Number of replicas that may have run it, including the attempt that just ended.
@@ -43,19 +43,19 @@
     pub may_try: bool,
 }
 
-impl AttemptPlan {
+impl RetryState {
     /// Returns the next step after an attempt that ended with `end`.
-    pub fn next(&self, end: AttemptEnd) -> NextMove {
+    pub fn next(&self, end: AttemptEnd) -> NextStep {
         let may_have_run = self.runs > 0 || end != AttemptEnd::NotRun;
         let repeatable = self.kind.may_repeat() || !may_have_run;
         if repeatable && self.may_try && self.runs < self.max_attempts.max(1) {
-            return NextMove::SendAgain;
+            return NextStep::RetryElsewhere;
         }
         match end {
-            AttemptEnd::RunFailed => NextMove::PassOn,
-            AttemptEnd::NotRun if !may_have_run => NextMove::Refuse,
+            AttemptEnd::RunFailed => NextStep::ForwardFailure,
+            AttemptEnd::NotRun if !may_have_run => NextStep::Refuse,
             // A repeatable request that may have run is not reported as one that did not run.
-            _ => NextMove::Unknown,
+            _ => NextStep::Unknown,
         }
     }
 }
--- a/crates/fleet/src/entry/events.rs
+++ b/crates/fleet/src/entry/events.rs
@@ -18,11 +18,11 @@
 
 /// Splits received bytes into events.
 #[derive(Debug, Clone, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buffer: Vec<u8>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Appends received bytes. Returns `false` if the buffered bytes exceed the largest event, so
     /// that this is no event stream.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
@@ -38,7 +38,7 @@
     }
 
     /// Whether a partial event is buffered.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
--- a/crates/fleet/src/entry/mod.rs
+++ b/crates/fleet/src/entry/mod.rs
@@ -13,13 +13,13 @@
 mod startup;
 mod table;
 
-pub use answer_timeout::AnswerWait;
-pub use attempt::{AttemptEnd, AttemptPlan, NextMove};
+pub use answer_timeout::AnswerTimeout;
+pub use attempt::{AttemptEnd, NextStep, RetryState};
 pub use budget::RetryBudget;
 pub use drain::DrainSchedule;
-pub use events::{EventCutter, StreamEvent};
+pub use events::{EventSplitter, StreamEvent};
 pub use lease::EntryLease;
 pub use load::{LoadSample, TargetLoad};
-pub use report_interval::{ask_pause, report_pause};
+pub use report_interval::{report_interval, retry_interval};
 pub use startup::StartupWait;
-pub use table::{ChoiceRefusal, TargetChoice, TargetId, TargetTable, TargetWish};
+pub use table::{ChoiceRefusal, TargetChoice, TargetId, TargetQuery, TargetTable};
--- a/crates/fleet/src/entry/report_interval.rs
+++ b/crates/fleet/src/entry/report_interval.rs
@@ -26,12 +26,12 @@
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Returns the interval between reports of each of `entries` entries that hold a lease.
-pub fn report_pause(entries: usize) -> Duration {
+pub fn report_interval(entries: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(LEADER_TIME_PER_REPORT * u32::try_from(entries).unwrap_or(u32::MAX))
 }
 
 /// Returns the time until the next report of an entry without a lease, after `unanswered` reports
 /// in a row had no answer.
-pub fn ask_pause(unanswered: u32) -> Duration {
+pub fn retry_interval(unanswered: u32) -> Duration {
     (RETRY_INTERVAL * (1 + unanswered / REPORTS_PER_BACKOFF_STEP)).min(MAX_RETRY_INTERVAL)
 }
--- a/crates/fleet/src/entry/table.rs
+++ b/crates/fleet/src/entry/table.rs
@@ -60,7 +60,7 @@
 
 /// Requirements of a request on its target.
 #[derive(Debug, Clone, Copy)]
-pub struct TargetWish<'a> {
+pub struct TargetQuery<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The model, if the service serves models.
@@ -147,7 +147,7 @@
     }
 
     /// Records the requests that the other entries have on the groups.
-    pub fn take_loads(&mut self, now: TimePoint, loads: &[GroupLoad]) {
+    pub fn record_other_loads(&mut self, now: TimePoint, loads: &[GroupLoad]) {
         let known = |group: GroupId| self.view.groups.iter().any(|known| known.group == group);
         let loads: Vec<&GroupLoad> = loads.iter().filter(|load| known(load.group)).collect();
         for load in loads {
@@ -220,9 +220,9 @@
         &mut self,
         now: TimePoint,
         book: &RouteBook,
-        query: &TargetWish<'_>,
+        query: &TargetQuery<'_>,
     ) -> Result<TargetChoice, ChoiceRefusal> {
-        let TargetWish { service, model, tried } = *query;
+        let TargetQuery { service, model, tried } = *query;
         let engine = book.service(service).and_then(|spec| spec.engine.as_ref());
         let slots = engine.map(|engine| engine.slots as f64);
         let candidates = match (slots, model) {
@@ -252,7 +252,7 @@
 
     /// Returns and clears whether the leader should be told that a share of a cold endpoint's rate
     /// is needed.
-    pub fn take_wanted_share(&mut self) -> bool {
+    pub fn take_share_request(&mut self) -> bool {
         std::mem::take(&mut self.wants_share)
     }
 
@@ -283,7 +283,7 @@
 
     /// Makes groups suspect whose silence exceeds their limit, and returns those that were not
     /// suspect before.
-    pub fn find_silent(&mut self, now: TimePoint) -> Vec<GroupId> {
+    pub fn detect_silent_groups(&mut self, now: TimePoint) -> Vec<GroupId> {
         let mut silent = Vec::new();
         for (target, load) in self.loads.iter_mut() {
             let TargetId::Group(group) = target else { continue };
@@ -307,7 +307,7 @@
     }
 
     /// Whether a request of this entry waits on a suspect target.
-    pub fn waits_on_silent(&self, now: TimePoint) -> bool {
+    pub fn waits_on_suspect(&self, now: TimePoint) -> bool {
         self.loads.values().any(|load| load.own_requests > 0 && load.is_suspect(now))
     }
 
--- a/crates/fleet/src/limit/entry_limits.rs
+++ b/crates/fleet/src/limit/entry_limits.rs
@@ -7,8 +7,8 @@
 
 use super::terms::lower_rate;
 use super::{
-    BUCKET_CAPACITY_REQUESTS, COLD_BUCKET_CAPACITY_REQUESTS, EndpointGrant, EndpointRate,
-    LIMIT_REPORTED_FOR, LimitReport, LimitWord, NamedLimit, SHARE_LEASE, SURPLUS_FROM_REQUESTS,
+    AdvertisedLimit, BUCKET_CAPACITY_REQUESTS, COLD_BUCKET_CAPACITY_REQUESTS, EndpointGrant,
+    EndpointRate, LIMIT_REPORTED_FOR, LimitHeader, LimitReport, SHARE_LEASE, SURPLUS_FROM_REQUESTS,
 };
 
 /// Limit on endpoints in one report.
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 struct LimitState {
     /// Limit in the latest answer to this entry, and when it arrived.
-    heard: Option<(NamedLimit, TimePoint)>,
+    heard: Option<(AdvertisedLimit, TimePoint)>,
     /// Limit that the endpoint advertises.
     limit: Option<EndpointRate>,
     /// Rate that it accepts while it is cold.
@@ -88,12 +88,17 @@
 impl EntryLimits {
     /// Processes the limit header of an answer from `endpoint`. Returns whether to report it to the
     /// leader at once.
-    pub fn hear(&mut self, now: TimePoint, endpoint: &IncarnationId, header: LimitWord) -> bool {
-        let LimitWord::Named(named) = header else { return false };
+    pub fn record_header(
+        &mut self,
+        now: TimePoint,
+        endpoint: &IncarnationId,
+        header: LimitHeader,
+    ) -> bool {
+        let LimitHeader::Advertised(named) = header else { return false };
         let rate = match named {
-            NamedLimit::Open if !self.endpoints.contains_key(endpoint) => return false,
-            NamedLimit::Open => None,
-            NamedLimit::Rate(rate) => Some(rate),
+            AdvertisedLimit::Open if !self.endpoints.contains_key(endpoint) => return false,
+            AdvertisedLimit::Open => None,
+            AdvertisedLimit::Rate(rate) => Some(rate),
         };
         let fresh = || LimitState::new(now);
         let known = self.endpoints.get_or_insert_with(endpoint.clone(), fresh);
@@ -242,7 +247,7 @@
     }
 
     /// Limit that was heard recently, with its age in milliseconds.
-    fn recent_limit(&self, now: TimePoint) -> Option<(NamedLimit, u64)> {
+    fn recent_limit(&self, now: TimePoint) -> Option<(AdvertisedLimit, u64)> {
         let (named, at) = self.heard?;
         let age = now.since(at);
         let millis = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
@@ -251,7 +256,7 @@
 
     /// Whether an answer to this entry advertised a limit recently.
     fn heard_limit_recently(&self, now: TimePoint) -> bool {
-        matches!(self.recent_limit(now), Some((NamedLimit::Rate(_), _)))
+        matches!(self.recent_limit(now), Some((AdvertisedLimit::Rate(_), _)))
     }
 
     fn smooth_demand(&mut self, span: Duration) {
--- a/crates/fleet/src/limit/limit_allocator.rs
+++ b/crates/fleet/src/limit/limit_allocator.rs
@@ -8,7 +8,7 @@
 use briartray_routing::admission::{HolderId, LimitBook, ShareRequest};
 
 use super::terms::lower_rate;
-use super::{EndpointGrant, EndpointRate, LEASE_MARGIN, LimitReport, NamedLimit, SHARE_LEASE};
+use super::{AdvertisedLimit, EndpointGrant, EndpointRate, LEASE_MARGIN, LimitReport, SHARE_LEASE};
 
 /// Limit on tracked endpoints with a limit.
 const MAX_TRACKED_ENDPOINTS: usize = 256;
@@ -50,12 +50,12 @@
 
 /// Allocations for all endpoints with a limit that the leader knows of.
 #[derive(Debug, Default)]
-pub struct LimitBoard {
+pub struct LimitAllocator {
     since: TimePoint,
     endpoints: SortedTable<IncarnationId, EndpointAllocation>,
 }
 
-impl LimitBoard {
+impl LimitAllocator {
     /// Creates the state of a leader whose term begins at `now`.
     pub fn new(now: TimePoint) -> Self {
         Self { since: now, endpoints: SortedTable::new() }
@@ -147,7 +147,7 @@
 
     /// Records that the endpoint advertised `named`, `age` ago. Reports arrive out of order, since
     /// each entry passes on answers at its own time.
-    fn record_limit(&mut self, now: TimePoint, named: NamedLimit, age: Duration) {
+    fn record_limit(&mut self, now: TimePoint, named: AdvertisedLimit, age: Duration) {
         // Shifted by the reporting period, since a leader that has just started has a clock near
         // zero.
         let advertised_at = now.after(super::LIMIT_REPORTED_FOR.saturating_sub(age));
@@ -156,8 +156,8 @@
         }
         self.advertised_at = advertised_at;
         self.limit = match named {
-            NamedLimit::Rate(rate) => Some(rate),
-            NamedLimit::Open => None,
+            AdvertisedLimit::Rate(rate) => Some(rate),
+            AdvertisedLimit::Open => None,
         };
         self.update_limit();
     }
--- a/crates/fleet/src/limit/mod.rs
+++ b/crates/fleet/src/limit/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! If each entry kept to the limit on its own, the total would be the limit times the number of
 //! entries. Instead the leader leases shares of it: entries report the advertised limits and their
-//! own demand ([`EntryLimits`]), and the leader's [`LimitBoard`] hands out shares that never add up
+//! own demand ([`EntryLimits`]), and the leader's [`LimitAllocator`] hands out shares that never add up
 //! to more than the limit. Only a few entries hold a share of a small limit at a time, since each
 //! may accumulate a token or two. An entry without a share sends nothing to the endpoint. The rates
 //! of cold endpoints are shared in the same way; the fleet view names the cold endpoints, so that
@@ -16,8 +16,8 @@
 use std::time::Duration;
 
 pub use entry_limits::{EntryLimits, SendPermit};
-pub use limit_allocator::LimitBoard;
-pub use terms::{EndpointGrant, EndpointRate, LimitReport, LimitWord, NamedLimit};
+pub use limit_allocator::LimitAllocator;
+pub use terms::{AdvertisedLimit, EndpointGrant, EndpointRate, LimitHeader, LimitReport};
 
 /// Lifetime of a share, counted from the entry's report. It is longer than an election, so that no
 /// entry has to stop when the leader changes.
--- a/crates/fleet/src/limit/terms.rs
+++ b/crates/fleet/src/limit/terms.rs
@@ -21,7 +21,7 @@
 
 plain_choice! {
     /// Limit that an endpoint advertises.
-    pub enum NamedLimit {
+    pub enum AdvertisedLimit {
         /// The endpoint accepts this rate.
         Rate(EndpointRate),
         /// The endpoint advertises no limit.
@@ -31,9 +31,9 @@
 
 /// Content of the limit header of one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LimitWord {
+pub enum LimitHeader {
     /// A valid value.
-    Named(NamedLimit),
+    Advertised(AdvertisedLimit),
     /// An invalid value; the limit known before still holds.
     Unreadable,
 }
@@ -45,7 +45,7 @@
         pub endpoint: IncarnationId,
         /// Limit that the endpoint advertised in an answer to this entry, with its age in
         /// milliseconds.
-        pub heard: Option<(NamedLimit, u64)>,
+        pub heard: Option<(AdvertisedLimit, u64)>,
         /// Limit that this entry knows. A new leader knows no limits and would treat the endpoint
         /// as unlimited.
         pub known: Option<EndpointRate>,
@@ -92,14 +92,14 @@
     }
 }
 
-impl LimitWord {
+impl LimitHeader {
     /// Parses the header value, a decimal number of requests per second.
     pub fn read(text: &str) -> Self {
         let text = text.trim();
         let decimal = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         match text.parse::<f64>() {
             Ok(rate) if decimal && rate.is_finite() => {
-                Self::Named(NamedLimit::Rate(EndpointRate::per_second(rate)))
+                Self::Advertised(AdvertisedLimit::Rate(EndpointRate::per_second(rate)))
             }
             _ => Self::Unreadable,
         }
--- a/crates/fleet/src/message/view.rs
+++ b/crates/fleet/src/message/view.rs
@@ -120,7 +120,7 @@
     }
 
     /// Whether both views have the same content; their versions may differ.
-    pub fn tells_as(&self, other: &Self) -> bool {
+    pub fn has_same_content(&self, other: &Self) -> bool {
         self.endpoints == other.endpoints
             && self.groups == other.groups
             && self.entries == other.entries
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -17,7 +17,7 @@
 
 pub use format::{STATE_FORMAT, StateError, decode_state, encode_state};
 pub use member_index::MemberIndex;
-pub use stored_plan::{StoredPlan, UnpackProblem};
+pub use stored_plan::{StoredPlan, UnpackError};
 
 use briartray_quarantine::{QuarantineList, QuarantineRecord};
 
@@ -203,7 +203,7 @@
     }
 
     /// Returns the endpoints that accept no new work, sorted for binary search.
-    pub fn leaving_by_name(&self) -> Vec<&IncarnationId> {
+    pub fn sorted_leaving(&self) -> Vec<&IncarnationId> {
         let mut leaving: Vec<&IncarnationId> = self.leaving.iter().collect();
         leaving.sort_unstable();
         leaving
--- a/crates/fleet/src/state/stored_plan.rs
+++ b/crates/fleet/src/state/stored_plan.rs
@@ -27,7 +27,7 @@
 
 /// Reason why a stored plan cannot be unpacked.
 #[derive(Debug, Snafu)]
-pub enum UnpackProblem {
+pub enum UnpackError {
     /// The compressed bytes are damaged.
     #[snafu(display(
         "a stored configuration cannot be unpacked: {source}; send the configuration again"
@@ -52,8 +52,8 @@
     /// Returns the text, byte for byte.
     ///
     /// # Errors
-    /// An `UnpackProblem` if the bytes are damaged or the text is too long.
-    pub fn text(&self) -> Result<Vec<u8>, UnpackProblem> {
+    /// An `UnpackError` if the bytes are damaged or the text is too long.
+    pub fn text(&self) -> Result<Vec<u8>, UnpackError> {
         let mut text = Vec::new();
         let mut decoder = ZlibDecoder::new(&*self.packed).take(MAX_TEXT_BYTES + 1);
         decoder.read_to_end(&mut text).context(DamagedSnafu)?;
--- a/crates/fleet/tests/agreed_state.rs
+++ b/crates/fleet/tests/agreed_state.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use briartray_fleet::state::{
     EndpointRecord, FleetCommand, FleetOutcome, FleetState, GroupHost, GroupRecord, STATE_FORMAT,
-    StateError, StoredPlan, UnpackProblem, decode_state, encode_state,
+    StateError, StoredPlan, UnpackError, decode_state, encode_state,
 };
 use briartray_model::codec;
 use briartray_model::names::{
@@ -150,7 +150,7 @@
 
     let damaged: StoredPlan = codec::decode(&bytes).expect("the frame is complete");
 
-    assert_matches!(damaged.text(), Err(UnpackProblem::Damaged { .. }));
+    assert_matches!(damaged.text(), Err(UnpackError::Damaged { .. }));
 }
 
 /// Guards against losing the quarantine when the whole deployment restarts: snapshots must contain
--- a/crates/fleet/tests/deployment.rs
+++ b/crates/fleet/tests/deployment.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use briartray_fleet::deployment::{
-    CallerLimits, DeploymentPlan, PlanProblem, RepeatKind, RouteBook, RouteRule, ServiceSpec,
+    CallerLimits, DeploymentPlan, PlanError, RepeatKind, RouteBook, RouteRule, ServiceSpec,
     TeamKeys, WeightedTarget,
 };
 use briartray_model::names::{ServiceName, TeamName};
@@ -113,14 +113,14 @@
     let mut wrong = route("lost", "a", "/");
     wrong.targets[0].service = ServiceName::new("nowhere");
 
-    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::UnknownService { .. }));
+    assert_matches!(plan(vec![wrong]).check(), Err(PlanError::UnknownService { .. }));
 }
 
 #[test]
 fn duplicate_host_and_prefix_are_rejected() {
     let routes = vec![route("one", "a", "/x/"), route("two", "a", "/x/")];
 
-    assert_matches!(plan(routes).check(), Err(PlanProblem::DuplicateRoute { .. }));
+    assert_matches!(plan(routes).check(), Err(PlanError::DuplicateRoute { .. }));
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let mut wrong = route("idle", "a", "/");
     wrong.targets[0].weight = 0;
 
-    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::ZeroWeight { .. }));
+    assert_matches!(plan(vec![wrong]).check(), Err(PlanError::ZeroWeight { .. }));
 }
 
 #[test]
@@ -136,7 +136,7 @@
     let mut wrong = route("hasty", "a", "/");
     wrong.timeout = Duration::ZERO;
 
-    assert_matches!(plan(vec![wrong]).check(), Err(PlanProblem::ZeroTimeout { .. }));
+    assert_matches!(plan(vec![wrong]).check(), Err(PlanError::ZeroTimeout { .. }));
 }
 
 #[test]
@@ -144,5 +144,5 @@
     let mut wrong = plan(vec![route("all", "a", "/")]);
     wrong.teams.push(team("late", &["key-1"]));
 
-    assert_matches!(wrong.check(), Err(PlanProblem::SharedKey { .. }));
+    assert_matches!(wrong.check(), Err(PlanError::SharedKey { .. }));
 }
--- a/crates/fleet/tests/director/planner.rs
+++ b/crates/fleet/tests/director/planner.rs
@@ -100,9 +100,9 @@
     let each = WorkSum {
         work_ms: engine.work_ms(model, prompt, answer),
         requests: 1.0,
-        reading_ms: engine.read_ms(prompt) * model.pace,
+        reading_ms: engine.prefill_ms(prompt) * model.pace,
         // The standard deviation of prompt lengths equals their mean.
-        reading_squares: 2.0 * (engine.read_ms(prompt) * model.pace).powi(2),
+        reading_squares: 2.0 * (engine.prefill_ms(prompt) * model.pace).powi(2),
         events: engine.events(answer),
         target_ms: if index == LARGE_INDEX { 500.0 } else { 300.0 },
         gap_ms: if index == LARGE_INDEX { 300.0 } else { 200.0 },
--- a/crates/fleet/tests/entry_decisions.rs
+++ b/crates/fleet/tests/entry_decisions.rs
@@ -6,8 +6,8 @@
     CallerLimits, DeploymentPlan, EngineModel, ModelSpec, RepeatKind, RouteBook, ServiceSpec,
 };
 use briartray_fleet::entry::{
-    AttemptEnd, AttemptPlan, ChoiceRefusal, DrainSchedule, EntryLease, EventCutter, LoadSample,
-    NextMove, RetryBudget, StartupWait, TargetId, TargetTable, TargetWish,
+    AttemptEnd, ChoiceRefusal, DrainSchedule, EntryLease, EventSplitter, LoadSample, NextStep,
+    RetryBudget, RetryState, StartupWait, TargetId, TargetQuery, TargetTable,
 };
 use briartray_fleet::message::{EndpointView, FleetView, GroupLoad, GroupView, ViewVersion};
 use briartray_model::TimePoint;
@@ -104,7 +104,7 @@
 
 fn choose(table: &mut TargetTable, now: TimePoint) -> Result<TargetId, ChoiceRefusal> {
     let desk = ServiceName::new("desk");
-    let query = TargetWish { service: &desk, model: Some("small"), tried: &[] };
+    let query = TargetQuery { service: &desk, model: Some("small"), tried: &[] };
     table.choose(now, &book(), &query).map(|choice| choice.target)
 }
 
@@ -186,7 +186,7 @@
     let mut table = table(3);
     let others = |group, others| GroupLoad { group: GroupId(group), others };
 
-    table.take_loads(at(0), &[others(1, SLOTS), others(2, SLOTS), others(3, 4)]);
+    table.record_other_loads(at(0), &[others(1, SLOTS), others(2, SLOTS), others(3, 4)]);
 
     for step in 0..20 {
         assert_eq!(choose(&mut table, at(step)), Ok(TargetId::Group(GroupId(3))));
@@ -202,9 +202,9 @@
     let others = [GroupLoad { group: GroupId(1), others: SLOTS }];
     table.sample(at(0), &target, LoadSample { running: 3, waiting: 0, slots: SLOTS });
 
-    table.take_loads(at(50), &others);
+    table.record_other_loads(at(50), &others);
     let early = choose(&mut table, at(50));
-    table.take_loads(at(400), &others);
+    table.record_other_loads(at(400), &others);
     let late = choose(&mut table, at(400));
 
     assert_eq!(early, Ok(target));
@@ -220,8 +220,8 @@
     table.begin(at(0), &target);
     table.moved(at(100), &target);
 
-    assert_eq!(table.find_silent(at(300)), []);
-    assert_eq!(table.find_silent(at(600)), [GroupId(1)]);
+    assert_eq!(table.detect_silent_groups(at(300)), []);
+    assert_eq!(table.detect_silent_groups(at(600)), [GroupId(1)]);
 
     assert_eq!(choose(&mut table, at(610)), Err(ChoiceRefusal::NoReplica));
     table.moved(at(700), &target);
@@ -290,8 +290,8 @@
     assert!(counts[1..].iter().all(|count| (20..=30).contains(count)), "{counts:?}");
 }
 
-fn attempt(kind: RepeatKind, runs: u32, may_try: bool) -> AttemptPlan {
-    AttemptPlan { kind, runs, max_attempts: 2, may_try }
+fn attempt(kind: RepeatKind, runs: u32, may_try: bool) -> RetryState {
+    RetryState { kind, runs, max_attempts: 2, may_try }
 }
 
 /// The connection breaks under a request that may run only once. It may have run, so it must not be
@@ -300,13 +300,16 @@
 fn a_run_once_request_that_may_have_run_is_not_retried() {
     let plan = attempt(RepeatKind::Once, 1, true);
 
-    assert_eq!(plan.next(AttemptEnd::MayHaveRun), NextMove::Unknown);
+    assert_eq!(plan.next(AttemptEnd::MayHaveRun), NextStep::Unknown);
 }
 
 #[test]
 fn a_request_that_did_not_run_is_retried_or_refused() {
-    assert_eq!(attempt(RepeatKind::Once, 0, true).next(AttemptEnd::NotRun), NextMove::SendAgain);
-    assert_eq!(attempt(RepeatKind::Once, 0, false).next(AttemptEnd::NotRun), NextMove::Refuse);
+    assert_eq!(
+        attempt(RepeatKind::Once, 0, true).next(AttemptEnd::NotRun),
+        NextStep::RetryElsewhere
+    );
+    assert_eq!(attempt(RepeatKind::Once, 0, false).next(AttemptEnd::NotRun), NextStep::Refuse);
 }
 
 #[test]
@@ -314,23 +317,23 @@
     let again = attempt(RepeatKind::Idempotent, 1, true);
     let enough = attempt(RepeatKind::Idempotent, 2, true);
 
-    assert_eq!(again.next(AttemptEnd::RunFailed), NextMove::SendAgain);
-    assert_eq!(enough.next(AttemptEnd::RunFailed), NextMove::PassOn);
-    assert_eq!(enough.next(AttemptEnd::MayHaveRun), NextMove::Unknown);
+    assert_eq!(again.next(AttemptEnd::RunFailed), NextStep::RetryElsewhere);
+    assert_eq!(enough.next(AttemptEnd::RunFailed), NextStep::ForwardFailure);
+    assert_eq!(enough.next(AttemptEnd::MayHaveRun), NextStep::Unknown);
 }
 
 /// A replica fails in the middle of an event. Only complete events may be returned, and their ids
 /// tell where another replica resumes.
 #[test]
 fn only_complete_events_are_returned() {
-    let mut splitter = EventCutter::default();
+    let mut splitter = EventSplitter::default();
 
     assert!(splitter.push(b"id: 7\ndata: a\n\nid: 8\nda"));
 
     let first = splitter.next_event().expect("a complete event");
     assert_eq!((first.id, first.bytes.as_slice()), (Some(7), b"id: 7\ndata: a\n\n".as_slice()));
     assert_eq!(splitter.next_event(), None);
-    assert!(splitter.has_rest());
+    assert!(splitter.has_partial_event());
     assert!(splitter.push(b"ta: b\n\n"));
     assert_eq!(splitter.next_event().and_then(|event| event.id), Some(8));
 }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -2,8 +2,8 @@
 
 use assert_matches::assert_matches;
 use briartray_fleet::limit::{
-    EndpointGrant, EndpointRate, EntryLimits, LimitBoard, LimitReport, LimitWord, NamedLimit,
-    SendPermit,
+    AdvertisedLimit, EndpointGrant, EndpointRate, EntryLimits, LimitAllocator, LimitHeader,
+    LimitReport, SendPermit,
 };
 use briartray_model::names::{IncarnationId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
@@ -40,8 +40,8 @@
     EndpointRate::per_second(per_second)
 }
 
-fn named(per_second: f64) -> LimitWord {
-    LimitWord::Named(NamedLimit::Rate(rate(per_second)))
+fn named(per_second: f64) -> LimitHeader {
+    LimitHeader::Advertised(AdvertisedLimit::Rate(rate(per_second)))
 }
 
 /// One simulated entry.
@@ -65,7 +65,7 @@
     now: u64,
     random: ChaCha8Rng,
     entries: Vec<TestEntry>,
-    allocator: LimitBoard,
+    allocator: LimitAllocator,
     leads: bool,
     limit: Option<f64>,
     wanted: usize,
@@ -86,7 +86,7 @@
             sent: Vec::new(),
         };
         let entries = demands.iter().enumerate().map(entry).collect();
-        let allocator = LimitBoard::new(at(0));
+        let allocator = LimitAllocator::new(at(0));
         Self { now: 0, random, entries, allocator, leads: true, limit: None, wanted: 0 }
     }
 
@@ -157,7 +157,7 @@
     /// Answers arrive, with the limit that the endpoint advertises when it sends them.
     fn receive_answers(&mut self, number: usize) {
         let now = self.now;
-        let value = self.limit.map_or(LimitWord::Named(NamedLimit::Open), named);
+        let value = self.limit.map_or(LimitHeader::Advertised(AdvertisedLimit::Open), named);
         let entry = &mut self.entries[number];
         let sent = entry.sent.iter().rev().take_while(|sent| **sent + HEAD_DELAY_MS >= now);
         let answers = sent.filter(|sent| **sent + HEAD_DELAY_MS == now).count();
@@ -165,7 +165,7 @@
             if self.limit.is_some() {
                 entry.learned_at.get_or_insert(now);
             }
-            if entry.limits.hear(at(now), &endpoint(), value) {
+            if entry.limits.record_header(at(now), &endpoint(), value) {
                 entry.report_at = now;
             }
         }
@@ -252,7 +252,7 @@
         system.run(15_000);
         system.leads = false;
         system.run(300 * (seed % 10));
-        system.allocator = LimitBoard::new(at(system.now));
+        system.allocator = LimitAllocator::new(at(system.now));
         system.leads = true;
         let changed = system.now;
         system.run(20_000);
@@ -403,7 +403,7 @@
     let mut limits = EntryLimits::default();
     limits.set_cold(at(0), &[(endpoint(), rate(32.0))].into_iter().collect(), false);
 
-    limits.hear(at(10), &endpoint(), LimitWord::Named(NamedLimit::Open));
+    limits.record_header(at(10), &endpoint(), LimitHeader::Advertised(AdvertisedLimit::Open));
 
     assert_matches!(limits.permit(at(20), &endpoint()), SendPermit::Denied { .. });
 }
@@ -413,17 +413,17 @@
 fn invalid_limit_values_change_nothing() {
     let unreadable = ["", "fast", "-1", "1e3", "NaN", "inf", "1,5", "1.2.3", "0x10", "."];
     for value in unreadable {
-        assert_eq!(LimitWord::read(value), LimitWord::Unreadable, "{value}");
+        assert_eq!(LimitHeader::read(value), LimitHeader::Unreadable, "{value}");
     }
-    assert_eq!(LimitWord::read("0"), named(0.0));
-    assert_eq!(LimitWord::read(" 1.6 "), named(1.6));
-    assert_eq!(LimitWord::read(&"9".repeat(40)), named(1e300));
+    assert_eq!(LimitHeader::read("0"), named(0.0));
+    assert_eq!(LimitHeader::read(" 1.6 "), named(1.6));
+    assert_eq!(LimitHeader::read(&"9".repeat(40)), named(1e300));
 
     let mut limits = EntryLimits::default();
-    assert!(!limits.hear(at(0), &endpoint(), LimitWord::Unreadable));
+    assert!(!limits.record_header(at(0), &endpoint(), LimitHeader::Unreadable));
     assert_eq!(limits.permit(at(0), &endpoint()), SendPermit::Unlimited);
-    assert!(limits.hear(at(0), &endpoint(), named(2.0)));
-    assert!(!limits.hear(at(10), &endpoint(), LimitWord::Unreadable));
+    assert!(limits.record_header(at(0), &endpoint(), named(2.0)));
+    assert!(!limits.record_header(at(10), &endpoint(), LimitHeader::Unreadable));
     assert_matches!(limits.permit(at(10), &endpoint()), SendPermit::Denied { .. });
 }
 
@@ -434,7 +434,7 @@
     let limit = Some(rate(100.0));
     let grant = EndpointGrant { endpoint: endpoint(), limit, share: rate(100.0) };
     let mut limits = EntryLimits::default();
-    limits.hear(at(0), &endpoint(), named(100.0));
+    limits.record_header(at(0), &endpoint(), named(100.0));
     limits.report(at(0), 1);
     limits.report(at(100), 2);
 
@@ -455,9 +455,9 @@
     let ids: Vec<IncarnationId> =
         (0..1_000).map(|number| IncarnationId::new(&format!("i-{number:04}"))).collect();
     for id in &ids {
-        limits.hear(at(0), id, named(1.0));
+        limits.record_header(at(0), id, named(1.0));
     }
-    let mut allocator = LimitBoard::new(at(0));
+    let mut allocator = LimitAllocator::new(at(0));
 
     let reports = limits.report(at(100), 1);
     let grants = allocator.renew(at(100), &NodeName::new("entry"), 1, &reports);
@@ -479,12 +479,12 @@
         demand: rate(1.0),
         held: rate(0.0),
     };
-    let mut allocator = LimitBoard::new(at(0));
+    let mut allocator = LimitAllocator::new(at(0));
     let entry = |number: u8| NodeName::new(&format!("entry-{number}"));
-    allocator.renew(at(5_000), &entry(0), 1, &[report(NamedLimit::Rate(rate(2.0)), 100)]);
-    allocator.renew(at(5_050), &entry(1), 1, &[report(NamedLimit::Open, 0)]);
+    allocator.renew(at(5_000), &entry(0), 1, &[report(AdvertisedLimit::Rate(rate(2.0)), 100)]);
+    allocator.renew(at(5_050), &entry(1), 1, &[report(AdvertisedLimit::Open, 0)]);
 
-    allocator.renew(at(5_100), &entry(2), 1, &[report(NamedLimit::Rate(rate(2.0)), 400)]);
+    allocator.renew(at(5_100), &entry(2), 1, &[report(AdvertisedLimit::Rate(rate(2.0)), 400)]);
 
     assert_eq!(allocator.limited(), 0);
 }
--- a/crates/fleet/tests/views.rs
+++ b/crates/fleet/tests/views.rs
@@ -1,6 +1,6 @@
 //! What entries receive: fleet views, updates of them, and which control host they listen to.
 
-use briartray_fleet::entry::{AnswerWait, TargetTable};
+use briartray_fleet::entry::{AnswerTimeout, TargetTable};
 use briartray_fleet::message::{
     EndpointView, EntryNotice, FleetView, GroupView, ViewHistory, ViewUpdate, ViewVersion,
 };
@@ -198,14 +198,14 @@
 /// replaced, although another host led.
 #[test]
 fn a_host_that_knows_no_leader_is_left() {
-    let mut wait = AnswerWait::new(at(0));
+    let mut wait = AnswerTimeout::new(at(0));
 
     for report in 1..10 {
-        wait.asked(at(report * 80));
+        wait.report_sent(at(report * 80));
         wait.heard(&notice(false, None));
     }
 
-    assert!(wait.is_over(at(720)));
+    assert!(wait.is_expired(at(720)));
 }
 
 /// A leader sends a large plan to one entry after the other, and meanwhile answers those that lack
@@ -213,16 +213,16 @@
 /// silent.
 #[test]
 fn a_leader_that_sends_any_notice_is_kept() {
-    let mut wait = AnswerWait::new(at(0));
+    let mut wait = AnswerTimeout::new(at(0));
 
-    wait.asked(at(10));
+    wait.report_sent(at(10));
     wait.heard(&notice(true, None));
-    let kept = !wait.is_over(at(2_000));
-    wait.asked(at(2_000));
-    let patient = !wait.is_over(at(2_600));
+    let kept = !wait.is_expired(at(2_000));
+    wait.report_sent(at(2_000));
+    let patient = !wait.is_expired(at(2_600));
 
     assert!(kept && patient);
-    assert!(wait.is_over(at(2_700)));
+    assert!(wait.is_expired(at(2_700)));
 }
 
 /// All machines lose power and restart one after the other. A control host without power does not
@@ -231,11 +231,11 @@
 /// its answer may come from a distant region.
 #[test]
 fn a_host_without_power_is_left_for_the_next_one() {
-    let first = AnswerWait::searching(at(0), 0);
-    let third = AnswerWait::searching(at(0), 2);
+    let first = AnswerTimeout::searching(at(0), 0);
+    let third = AnswerTimeout::searching(at(0), 2);
 
-    assert!(!first.is_over(at(50)) && first.is_over(at(60)));
-    assert!(!third.is_over(at(230)) && third.is_over(at(240)));
+    assert!(!first.is_expired(at(50)) && first.is_expired(at(60)));
+    assert!(!third.is_expired(at(230)) && third.is_expired(at(240)));
 }
 
 /// A host found in a search is up but knows no leader, since there is none yet. If the entry left
@@ -243,11 +243,11 @@
 /// one is elected.
 #[test]
 fn a_host_that_sends_a_notice_is_waited_for() {
-    let mut wait = AnswerWait::searching(at(0), 0);
+    let mut wait = AnswerTimeout::searching(at(0), 0);
 
-    wait.asked(at(10));
+    wait.report_sent(at(10));
     wait.heard(&notice(false, None));
 
-    assert!(!wait.is_over(at(690)));
-    assert!(wait.is_over(at(700)));
+    assert!(!wait.is_expired(at(690)));
+    assert!(wait.is_expired(at(700)));
 }
--- a/crates/gateway/src/control/inform.rs
+++ b/crates/gateway/src/control/inform.rs
@@ -85,7 +85,7 @@
         let version = ViewVersion { term: leadership.term, number: leadership.number + 1 };
         let mut view = leadership.director.view(now, &self.state, plan, version);
         view.entries = leadership.entries.len();
-        let same = leadership.views.newest().is_some_and(|known| known.tells_as(&view));
+        let same = leadership.views.newest().is_some_and(|known| known.has_same_content(&view));
         let newest = self.state.plan().map(|plan| plan.version);
         let prints = leadership.quarantine.view().version;
         let lacks = |entry: &EntrySession| entry.plan < newest || entry.prints != prints;
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -7,7 +7,7 @@
 
 use briartray_fleet::deployment::{RepeatKind, RouteBook, RouteRule};
 use briartray_fleet::entry::{
-    AttemptEnd, AttemptPlan, ChoiceRefusal, NextMove, TargetChoice, TargetId, TargetWish,
+    AttemptEnd, ChoiceRefusal, NextStep, RetryState, TargetChoice, TargetId, TargetQuery,
 };
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
@@ -174,10 +174,10 @@
     }
 
     /// What follows from the end of an attempt.
-    pub(super) fn next_move(&self, end: AttemptEnd) -> NextMove {
+    pub(super) fn next_move(&self, end: AttemptEnd) -> NextStep {
         let sends = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         let may_send = sends < self.rule.max_attempts.max(1) + EXTRA_SENDS;
-        let plan = AttemptPlan {
+        let plan = RetryState {
             kind: self.rule.kind,
             runs: self.runs,
             max_attempts: self.rule.max_attempts,
@@ -185,12 +185,12 @@
         };
         match plan.next(end) {
             // A second endpoint would crash as well.
-            NextMove::SendAgain if self.standing() != PrintStanding::Clear => {
-                AttemptPlan { may_try: false, ..plan }.next(end)
+            NextStep::RetryElsewhere if self.standing() != PrintStanding::Clear => {
+                RetryState { may_try: false, ..plan }.next(end)
             }
             // The budget is asked only when everything else allows another attempt.
-            NextMove::SendAgain if !self.may_try() => {
-                AttemptPlan { may_try: false, ..plan }.next(end)
+            NextStep::RetryElsewhere if !self.may_try() => {
+                RetryState { may_try: false, ..plan }.next(end)
             }
             next => next,
         }
@@ -198,14 +198,14 @@
 
     /// Chooses a target.
     pub(super) fn choose(&self) -> Result<TargetChoice, ChoiceRefusal> {
-        let wish = TargetWish {
+        let query = TargetQuery {
             service: &self.service,
             model: self.head.model.as_deref(),
             tried: &self.tried,
         };
         let mut table = self.state.table.borrow_mut();
-        let choice = table.choose(self.state.now(), &self.book, &wish);
-        let wants_share = table.take_wanted_share();
+        let choice = table.choose(self.state.now(), &self.book, &query);
+        let wants_share = table.take_share_request();
         drop(table);
         if wants_share {
             self.state.send_report();
--- a/crates/gateway/src/entry/relay.rs
+++ b/crates/gateway/src/entry/relay.rs
@@ -6,7 +6,7 @@
 
 use std::pin::Pin;
 
-use briartray_fleet::entry::{AttemptEnd, EventCutter, NextMove, StreamEvent};
+use briartray_fleet::entry::{AttemptEnd, EventSplitter, NextStep, StreamEvent};
 use briartray_platform::answer_headers;
 use bytes::Bytes;
 use http::Response;
@@ -23,7 +23,7 @@
 /// A stream in progress.
 struct LiveStream {
     answer: LiveAnswer,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     /// Fires when the request's time is over; one timer serves all events.
     over: Pin<Box<Sleep>>,
 }
@@ -103,7 +103,7 @@
             }
             Ok(answer) => {
                 let over = Box::pin(tokio::time::sleep(request.left()));
-                let mut stream = LiveStream { answer, cutter: EventCutter::default(), over };
+                let mut stream = LiveStream { answer, splitter: EventSplitter::default(), over };
                 match next_step(request, &mut stream).await {
                     StreamStep::Event(event) if follows(last, event.id) => {
                         stream.answer.guard.first_part();
@@ -122,9 +122,9 @@
             }
         };
         match request.next_move(end) {
-            NextMove::SendAgain => {}
-            NextMove::Refuse => return Err(OpenFailure::Refused(RefusalKind::NotRun)),
-            NextMove::Unknown | NextMove::PassOn => {
+            NextStep::RetryElsewhere => {}
+            NextStep::Refuse => return Err(OpenFailure::Refused(RefusalKind::NotRun)),
+            NextStep::Unknown | NextStep::ForwardFailure => {
                 let late = request.left().is_zero();
                 let kind = if late { RefusalKind::LateUnknown } else { RefusalKind::Unknown };
                 return Err(OpenFailure::Refused(kind));
@@ -183,10 +183,10 @@
 /// a good part of the processor time that it spends on streams.
 async fn next_step(request: &ServedRequest, stream: &mut LiveStream) -> StreamStep {
     loop {
-        if let Some(event) = stream.cutter.next_event() {
+        if let Some(event) = stream.splitter.next_event() {
             return StreamStep::Event(event);
         }
-        let LiveStream { answer, cutter, over } = &mut *stream;
+        let LiveStream { answer, splitter, over } = &mut *stream;
         let read = tokio::select! {
             read = answer.exchange.next_bytes() => read,
             () = request.state.silence.notified() => {
@@ -200,11 +200,11 @@
         match read {
             Ok(Some(bytes)) => {
                 answer.guard.moved();
-                if !cutter.push(&bytes) {
+                if !splitter.push(&bytes) {
                     return StreamStep::Broken;
                 }
             }
-            Ok(None) if !cutter.has_rest() => return StreamStep::End,
+            Ok(None) if !splitter.has_partial_event() => return StreamStep::End,
             Ok(None) => return StreamStep::Broken,
             Err(_) => {
                 crash_check::check(request);
@@ -277,7 +277,7 @@
             StreamStep::End => return true,
             StreamStep::Broken => {
                 request.runs += 1;
-                if request.next_move(AttemptEnd::MayHaveRun) != NextMove::SendAgain {
+                if request.next_move(AttemptEnd::MayHaveRun) != NextStep::RetryElsewhere {
                     return false;
                 }
                 let Ok((resumed, event)) = open(request, position.last).await else {
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -7,9 +7,9 @@
 
 use briartray_fleet::deployment::{RouteBook, RouteRule};
 use briartray_fleet::entry::{
-    EntryLease, RetryBudget, StartupWait, TargetTable, ask_pause, report_pause,
+    EntryLease, RetryBudget, StartupWait, TargetTable, report_interval, retry_interval,
 };
-use briartray_fleet::limit::LimitWord;
+use briartray_fleet::limit::LimitHeader;
 use briartray_fleet::message::{EntryNotice, EntryReport, ModelDemand, WorkSum};
 use briartray_fleet::state::StoredPlan;
 use briartray_model::message::PrintView;
@@ -218,14 +218,14 @@
 
     pub(super) fn keep_house(&self) {
         let now = self.now();
-        let silent = self.table.borrow_mut().find_silent(now);
+        let silent = self.table.borrow_mut().detect_silent_groups(now);
         if !silent.is_empty() {
             for group in &silent {
                 log::warn!(group = group.0; "a group gives no sign of life and is left alone");
             }
             self.send_report();
         }
-        if self.table.borrow().waits_on_silent(now) {
+        if self.table.borrow().waits_on_suspect(now) {
             self.silence.notify_waiters();
         }
         self.pool.borrow_mut().prune(now);
@@ -270,7 +270,7 @@
         let Some(spec) = engine.model(model) else { return };
         // The most that a caller allows says little: it is three times the usual answer.
         let answer = head.answer_guess.unwrap_or(engine.usual_answer);
-        let reading = engine.read_ms(tokens.prompt) * spec.pace;
+        let reading = engine.prefill_ms(tokens.prompt) * spec.pace;
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
         let sum = WorkSum {
             work_ms: engine.work_ms(spec, tokens.prompt, answer),
@@ -310,7 +310,7 @@
             log::debug!(term, number, whole, groups; "an update of the view came");
             table.update(self.now(), update);
         }
-        table.take_loads(self.now(), &notice.loads);
+        table.record_other_loads(self.now(), &notice.loads);
         if let Some(prints) = notice.prints {
             self.adopt_prints(prints);
         }
@@ -340,11 +340,11 @@
     }
 
     /// Takes what an answer of `endpoint` says of its limit.
-    pub(super) fn hear_limit(&self, endpoint: Option<&IncarnationId>, word: LimitWord) {
+    pub(super) fn hear_limit(&self, endpoint: Option<&IncarnationId>, header: LimitHeader) {
         let Some(endpoint) = endpoint else { return };
-        let changed = self.table.borrow_mut().limits().hear(self.now(), endpoint, word);
+        let changed = self.table.borrow_mut().limits().record_header(self.now(), endpoint, header);
         if changed {
-            log::info!(endpoint:% = endpoint; "an endpoint names another limit: {word:?}");
+            log::info!(endpoint:% = endpoint; "an endpoint names another limit: {header:?}");
             self.send_report();
         }
     }
@@ -389,10 +389,10 @@
     }
 
     /// Time between two reports to the leader.
-    pub(super) fn report_pause(&self) -> Duration {
+    pub(super) fn report_interval(&self) -> Duration {
         match self.is_in_touch() {
-            true => report_pause(self.table.borrow().entries()),
-            false => ask_pause(self.unanswered.get()),
+            true => report_interval(self.table.borrow().entries()),
+            false => retry_interval(self.unanswered.get()),
         }
     }
 }
--- a/crates/gateway/src/entry/watch.rs
+++ b/crates/gateway/src/entry/watch.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use briartray_fleet::entry::AnswerWait;
+use briartray_fleet::entry::AnswerTimeout;
 use briartray_fleet::message::{EntryNotice, EntryReport};
 use briartray_link::{CallKind, ClientSettings, LinkClient, LinkError, LinkReader, LinkWriter};
 use briartray_model::TimePoint;
@@ -69,7 +69,7 @@
 pub(super) async fn follow(state: Rc<EntryState>, mut events: mpsc::UnboundedReceiver<WatchEvent>) {
     let mut reported = tokio::time::Instant::now();
     loop {
-        let pause = state.report_pause();
+        let pause = state.report_interval();
         tokio::select! {
             event = events.recv() => match event {
                 Some(WatchEvent::Notice(notice)) => state.adopt(notice),
@@ -128,9 +128,9 @@
     }
 
     /// The leader that was named last, or the next of the known hosts, and how long it is waited for.
-    fn next_host(&mut self, now: TimePoint) -> Option<(NodeName, AnswerWait)> {
+    fn next_host(&mut self, now: TimePoint) -> Option<(NodeName, AnswerTimeout)> {
         if let Some(leader) = self.leader.take() {
-            return Some((leader, AnswerWait::new(now)));
+            return Some((leader, AnswerTimeout::new(now)));
         }
         if self.next >= self.hosts.len() {
             self.next = 0;
@@ -138,7 +138,7 @@
         }
         let host = self.hosts.get(self.next)?.clone();
         self.next += 1;
-        Some((host, AnswerWait::searching(now, self.rounds)))
+        Some((host, AnswerTimeout::searching(now, self.rounds)))
     }
 
     fn talk(
@@ -147,14 +147,14 @@
         writer: &LinkWriter,
         reader: &LinkReader,
         clock: &ClockReader,
-        mut wait: AnswerWait,
+        mut wait: AnswerTimeout,
     ) -> TalkEnd {
         loop {
             for report in self.queue.try_iter() {
                 if writer.try_send(&report).is_err() {
                     return TalkEnd::Next;
                 }
-                wait.asked(clock.now());
+                wait.report_sent(clock.now());
             }
             match reader.receive::<EntryNotice>(POLL) {
                 Ok(notice) => {
@@ -175,7 +175,7 @@
                     return TalkEnd::Next;
                 }
             }
-            if wait.is_over(clock.now()) {
+            if wait.is_expired(clock.now()) {
                 return TalkEnd::Next;
             }
         }
--- a/crates/gateway/src/stored.rs
+++ b/crates/gateway/src/stored.rs
@@ -1,7 +1,7 @@
 //! Reading declarations that the control hosts agreed on.
 
-use briartray_fleet::deployment::{DeploymentPlan, PlanProblem};
-use briartray_fleet::state::{StoredPlan, UnpackProblem};
+use briartray_fleet::deployment::{DeploymentPlan, PlanError};
+use briartray_fleet::state::{StoredPlan, UnpackError};
 use snafu::{ResultExt, Snafu};
 
 /// Why an accepted declaration cannot be used.
@@ -11,13 +11,13 @@
     #[snafu(display("{source}"))]
     Packed {
         /// What is wrong.
-        source: UnpackProblem,
+        source: UnpackError,
     },
     /// Its text is no declaration, though it was checked when it was accepted.
     #[snafu(display("{source}"))]
     Text {
         /// What is wrong.
-        source: PlanProblem,
+        source: PlanError,
     },
 }
 
