--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -1,4 +1,4 @@
-//! The interface of control hosts for operators and endpoints.
+//! HTTP API of a control host for operators and endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-use super::calls::{EndpointCall, EndpointCaller};
-use super::evacuation::ZoneWish;
+use super::endpoint_client::{EndpointCall, EndpointClient};
+use super::evacuation::ZoneChange;
 use super::evacuation_call::{EvacuationCall, evacuation_answer};
 use super::input::{ControlReply, CoreInput, InputSender, ReplySender};
 use super::quarantine_call::{QuarantineCall, quarantine_answer};
@@ -27,29 +27,30 @@
 use crate::process::{ProcessError, SetupSnafu};
 use briartray_http::{AnswerBody, HttpServer, ServerLimits};
 
-/// Largest declaration, in bytes: 25 KB for 110 routes, so thousands of routes fit.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Maximum size of a deployment plan, in bytes: 25 KB hold 110 routes, so thousands of routes fit.
+const MAX_PLAN_BYTES: usize = 4 * 1024 * 1024;
 
-/// Time for the control thread to answer. Callers give up after one second or more.
+/// Timeout for a reply from the control thread. Callers time out after one second or more.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Connections of operators and endpoints that are open at one time: half of the descriptors of a host.
+/// Maximum number of open connections from operators and endpoints: half of a host's file
+/// descriptors.
 const MAX_CONNECTIONS: usize = 2_048;
 
-/// Time a connection may be idle: several beats. Endpoints that have moved to another control host leave
-/// theirs behind.
-const IDLE_LIMIT: Duration = Duration::from_secs(8);
+/// Idle timeout of connections: several heartbeat intervals. Endpoints that switch to another
+/// control host leave their connections open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time between two looks for connections to endpoints that are not used any more.
-const PRUNE_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which unused connections to endpoints are closed.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Stack of the HTTP thread, in bytes.
+/// Stack size of the HTTP thread, in bytes.
 const HTTP_STACK_BYTES: usize = 2 * 1024 * 1024;
 
-/// Starts the HTTP thread; calls to endpoints go into the returned queue.
+/// Starts the HTTP thread; returns the queue for calls to endpoints.
 ///
 /// # Errors
-/// A `ProcessError` when the port or the thread cannot be had.
+/// A [`ProcessError`] if the port or the thread cannot be set up.
 pub(super) fn start(
     address: SocketAddr,
     inputs: InputSender,
@@ -70,7 +71,7 @@
                     serve_all(listener, address, inputs, queue).await;
                 });
             }
-            Err(error) => log::error!("the control port cannot be served: {error}"),
+            Err(error) => log::error!("cannot serve the control API: {error}"),
         }
     };
     spawn_worker("control-http", HTTP_STACK_BYTES, run)
@@ -86,20 +87,20 @@
 ) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return log::error!("the control port cannot be served: {error}"),
+        Err(error) => return log::error!("cannot serve the control API: {error}"),
     };
-    let limits = ServerLimits { connections: MAX_CONNECTIONS, idle: IDLE_LIMIT };
+    let limits = ServerLimits { connections: MAX_CONNECTIONS, idle: IDLE_TIMEOUT };
     let api = ControlApi { address, inputs: inputs.clone() };
     let _server = HttpServer::start(listener, limits, move |request| api.clone().handle(request));
-    let caller = EndpointCaller::new(inputs);
-    let mut prune = tokio::time::interval(PRUNE_EVERY);
+    let client = EndpointClient::new(inputs);
+    let mut prune = tokio::time::interval(PRUNE_INTERVAL);
     loop {
         tokio::select! {
             call = calls.recv() => match call {
-                Some(call) => drop(tokio::task::spawn_local(caller.clone().make(call))),
+                Some(call) => drop(tokio::task::spawn_local(client.clone().run(call))),
                 None => return,
             },
-            _ = prune.tick() => caller.prune(),
+            _ = prune.tick() => client.prune(),
         }
     }
 }
@@ -115,88 +116,105 @@
         let call = ControlCall::read(&request);
         let path = request.uri().path().to_owned();
         let (head, body) = request.into_parts();
-        let Ok(body) = Limited::new(body, MAX_BODY).collect().await else {
-            return problem(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large or incomplete");
+        let Ok(body) = Limited::new(body, MAX_PLAN_BYTES).collect().await else {
+            return error_response(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the body is too large or incomplete",
+            );
         };
         let body = body.to_bytes();
-        if let Some(answer) = self.handle_own(&path, &head, &body).await {
+        if let Some(answer) = self.handle_gateway_call(&path, &head, &body).await {
             return answer;
         }
         match call {
-            ControlCall::PutPlan => self.put(&path, body).await,
+            ControlCall::PutPlan => self.put_plan(&path, body).await,
             ControlCall::GetPlan => {
-                let reply = self.ask(|reply| CoreInput::Get { reply }).await;
-                self.answer(&path, reply)
+                let reply = self.request_reply(|reply| CoreInput::GetPlan { reply }).await;
+                self.reply_response(&path, reply)
             }
-            ControlCall::Beat { id } => self.beat(&path, &id, &body).await,
+            ControlCall::Beat { id } => self.heartbeat(&path, &id, &body).await,
             ControlCall::Leave { id } => {
                 let id = read_leave(&id, &body);
-                let reply = self.ask(|reply| CoreInput::Leave { id, reply }).await;
-                self.answer(&path, reply)
+                let reply = self.request_reply(|reply| CoreInput::Leave { id, reply }).await;
+                self.reply_response(&path, reply)
             }
-            ControlCall::Evacuate { zone } => self.change(&path, zone, ZoneWish::Evacuate).await,
-            ControlCall::Readmit { zone } => self.change(&path, zone, ZoneWish::Readmit).await,
-            ControlCall::Other => problem(StatusCode::NOT_FOUND, "there is no such call"),
+            ControlCall::Evacuate { zone } => {
+                self.change_zone(&path, zone, ZoneChange::Evacuate).await
+            }
+            ControlCall::Readmit { zone } => {
+                self.change_zone(&path, zone, ZoneChange::Readmit).await
+            }
+            ControlCall::Other => error_response(StatusCode::NOT_FOUND, "there is no such call"),
         }
     }
 
-    /// Answers a call on the product's own paths; `None` for any other one.
-    async fn handle_own(
+    /// Handles a call on the gateway's own paths; `None` if the path is not one of them.
+    async fn handle_gateway_call(
         &self,
         path: &str,
         head: &Parts,
         body: &[u8],
     ) -> Option<Response<AnswerBody>> {
-        let quarantine = QuarantineCall::read(head, body).map(|read| read.map(OwnCall::Quarantine));
+        let quarantine =
+            QuarantineCall::read(head, body).map(|read| read.map(GatewayCall::Quarantine));
         let evacuation =
-            || EvacuationCall::read(head, body).map(|read| read.map(OwnCall::Evacuation));
+            || EvacuationCall::read(head, body).map(|read| read.map(GatewayCall::Evacuation));
         match quarantine.or_else(evacuation)? {
             Ok(call) => {
-                let reply = self.ask(|reply| call.input(reply)).await;
-                Some(self.answer(path, reply))
+                let reply = self.request_reply(|reply| call.input(reply)).await;
+                Some(self.reply_response(path, reply))
             }
-            Err(detail) => Some(problem(StatusCode::BAD_REQUEST, &detail)),
+            Err(detail) => Some(error_response(StatusCode::BAD_REQUEST, &detail)),
         }
     }
 
-    async fn change(&self, path: &str, zone: ZoneName, wish: ZoneWish) -> Response<AnswerBody> {
+    async fn change_zone(
+        &self,
+        path: &str,
+        zone: ZoneName,
+        change: ZoneChange,
+    ) -> Response<AnswerBody> {
         let name = zone.to_string();
-        let reply = self.ask(|reply| CoreInput::Zone { zone, wish, reply }).await;
-        log::info!(zone = name.as_str(); "{wish:?} was asked for: {}", describe(&reply));
-        self.answer(path, reply)
+        let reply = self.request_reply(|reply| CoreInput::ChangeZone { zone, change, reply }).await;
+        log::info!(zone = name.as_str();
+            "operator requested {change:?}: {}", reply_summary(&reply));
+        self.reply_response(path, reply)
     }
 
-    async fn put(&self, path: &str, body: Bytes) -> Response<AnswerBody> {
+    async fn put_plan(&self, path: &str, body: Bytes) -> Response<AnswerBody> {
         match read_plan(&body) {
             Ok(plan) => {
                 let plan = StoredPlan::pack(plan.version, &body);
                 let version = plan.version;
-                let reply = self.ask(|reply| CoreInput::Put { plan, reply }).await;
-                log::info!(version; "a declaration was sent: {}", describe(&reply));
-                self.answer(path, reply)
+                let reply = self.request_reply(|reply| CoreInput::PutPlan { plan, reply }).await;
+                log::info!(version; "operator sent a deployment plan: {}", reply_summary(&reply));
+                self.reply_response(path, reply)
             }
             Err(error) => {
-                log::info!("a declaration is refused: {error}");
-                problem(StatusCode::BAD_REQUEST, &error.to_string())
+                log::info!("refused invalid deployment plan: {error}");
+                error_response(StatusCode::BAD_REQUEST, &error.to_string())
             }
         }
     }
 
-    async fn beat(&self, path: &str, id: &str, body: &[u8]) -> Response<AnswerBody> {
+    async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<AnswerBody> {
         match read_beat(id, body) {
-            Ok(beat) => match self.ask(|reply| CoreInput::Beat { beat, reply }).await {
+            Ok(heartbeat) => match self
+                .request_reply(|reply| CoreInput::Heartbeat { heartbeat, reply })
+                .await
+            {
                 ControlReply::Done => beat_answer(&self.address.to_string()).map(AnswerBody::whole),
-                reply => self.answer(path, reply),
+                reply => self.reply_response(path, reply),
             },
             Err(error) => {
-                log::warn!(endpoint = id; "a beat does not read: {error}");
-                problem(StatusCode::BAD_REQUEST, &error.to_string())
+                log::warn!(endpoint = id; "refused invalid heartbeat: {error}");
+                error_response(StatusCode::BAD_REQUEST, &error.to_string())
             }
         }
     }
 
-    /// Asks the control thread.
-    async fn ask(&self, wrap: impl FnOnce(ReplySender) -> CoreInput) -> ControlReply {
+    /// Sends an input to the control thread and waits for its reply.
+    async fn request_reply(&self, wrap: impl FnOnce(ReplySender) -> CoreInput) -> ControlReply {
         let (reply, answer) = oneshot::channel();
         if !self.inputs.try_send(wrap(reply)) {
             return ControlReply::Unavailable;
@@ -207,7 +225,7 @@
         }
     }
 
-    fn answer(&self, path: &str, reply: ControlReply) -> Response<AnswerBody> {
+    fn reply_response(&self, path: &str, reply: ControlReply) -> Response<AnswerBody> {
         match reply {
             ControlReply::Done => Response::new(AnswerBody::whole(Vec::new())),
             ControlReply::Plan(body) => json_answer(body),
@@ -216,27 +234,29 @@
             ControlReply::UnknownZone(zone) => {
                 let message =
                     format!("there is no zone {zone}; name one of the deployment's zones");
-                problem(StatusCode::BAD_REQUEST, &message)
+                error_response(StatusCode::BAD_REQUEST, &message)
+            }
+            ControlReply::NoPlan => {
+                error_response(StatusCode::NOT_FOUND, "nothing was declared yet")
             }
-            ControlReply::NoPlan => problem(StatusCode::NOT_FOUND, "nothing was declared yet"),
             ControlReply::AskLeader(node) => {
                 let address = format!("{node}:{}", self.address.port());
                 redirect_to(&address, path).map(AnswerBody::whole)
             }
             ControlReply::Unavailable => {
-                problem(StatusCode::SERVICE_UNAVAILABLE, "no majority answers; try again")
+                error_response(StatusCode::SERVICE_UNAVAILABLE, "no majority answers; try again")
             }
         }
     }
 }
 
-/// A call on the product's own paths.
-enum OwnCall {
+/// A call on one of the gateway's own paths.
+enum GatewayCall {
     Quarantine(QuarantineCall),
     Evacuation(EvacuationCall),
 }
 
-impl OwnCall {
+impl GatewayCall {
     fn input(self, reply: ReplySender) -> CoreInput {
         match self {
             Self::Quarantine(call) => call.input(reply),
@@ -245,10 +265,10 @@
     }
 }
 
-fn describe(reply: &ControlReply) -> &'static str {
+fn reply_summary(reply: &ControlReply) -> &'static str {
     match reply {
         ControlReply::Done => "acknowledged",
-        ControlReply::AskLeader(_) => "sent to the leader",
+        ControlReply::AskLeader(_) => "redirected to the leader",
         ControlReply::Unavailable => "no majority",
         ControlReply::UnknownZone(_) => "unknown zone",
         ControlReply::Plan(_)
@@ -258,13 +278,13 @@
     }
 }
 
-fn problem(status: StatusCode, message: &str) -> Response<AnswerBody> {
+fn error_response(status: StatusCode, message: &str) -> Response<AnswerBody> {
     let mut answer = json_answer(json!({ "message": message }).to_string());
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer that holds `body`, which is JSON.
+/// A response with the JSON document `body`.
 pub(super) fn json_answer(body: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut answer = Response::new(AnswerBody::whole(body));
     let json = HeaderValue::from_static("application/json");
--- a/crates/gateway/src/control/core.rs
+++ b/crates/gateway/src/control/core.rs
@@ -1,5 +1,5 @@
-//! The control thread: steps the agreement and the director, answers operators, endpoints and
-//! entries.
+//! The control thread: drives the consensus core and the director, and replies to operators,
+//! endpoints and entries.
 
 use std::time::{Duration, Instant};
 
@@ -16,9 +16,9 @@
 use crossbeam::channel::{RecvTimeoutError, Sender};
 use tokio::sync::mpsc;
 
-use super::calls::EndpointCall;
 use super::disk;
-use super::folder::{FileSource, FolderOpening, REOPEN_PAUSE, open_folder, refuse_for};
+use super::endpoint_client::EndpointCall;
+use super::folder::{FileSource, FolderOpening, REOPEN_PAUSE, open_folder, refuse_inputs};
 use super::host_book::HostBook;
 use super::input::{ControlReply, CoreInput, CoreMessage, InputReceiver, InputSender, ReplySender};
 use super::leadership::Leadership;
@@ -29,15 +29,15 @@
 use crate::process::RoleFailure;
 use crate::settings::{ControlRole, GatewaySettings};
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between periodic tasks.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Times of the agreement. An election is a second without repairs of groups and renewals of
-/// leases; hosts are milliseconds apart, and a lost packet costs a fifth of a second.
+/// Timing of the consensus protocol. During an election, about one second, no groups are repaired
+/// and no leases renewed. Hosts are milliseconds apart; a lost packet costs 0.2 s.
 const AGREEMENT_TIMES: AgreementTimes =
     AgreementTimes { heartbeat: Duration::from_millis(100), election: Duration::from_millis(500) };
 
-/// What a control thread is made of.
+/// Inputs of the control thread other than its state.
 pub(super) struct CoreParts {
     pub(super) settings: GatewaySettings,
     pub(super) role: ControlRole,
@@ -45,34 +45,34 @@
     pub(super) peers: PeerLinks,
     pub(super) inputs: InputSender,
     pub(super) metrics: ControlMetrics,
-    /// Told when the role cannot go on.
+    /// Notified when the role cannot continue.
     pub(super) failure: Sender<RoleFailure>,
     pub(super) files: FileSource,
 }
 
 impl CoreParts {
-    /// Opens the data folder, where the host has one.
+    /// Opens the data folder, if the host has one.
     pub(super) fn open_folder(&self, queue: &InputReceiver) -> FolderOpening {
         let path = self.role.data_folder.as_deref();
         open_folder(path, &self.settings.node_name(), &self.files, queue)
     }
 }
 
-/// State and knowledge of one control host.
+/// State of one control host.
 pub(super) struct ControlCore {
     pub(super) parts: CoreParts,
     pub(super) clock: ClockReader,
-    /// `None` on a host without a disk.
+    /// `None` on a host without a data folder.
     pub(super) agreement: Option<AgreementCore>,
     pub(super) disk: Option<Sender<WriteBatch>>,
     pub(super) state: FleetState,
     pub(super) plan: Option<DeploymentPlan>,
-    pub(super) hosts: HostBook,
+    pub(super) host_book: HostBook,
     pub(super) leadership: Option<Leadership>,
-    pub(super) relay: RelayBuffer,
+    pub(super) relay_buffer: RelayBuffer,
     pub(super) proposals: SortedTable<ProposalToken, CommandOrigin>,
     pub(super) reads: SortedTable<ReadToken, ReadOrigin>,
-    /// Why it cannot go on as it is.
+    /// Reason why the thread cannot continue with its current state.
     pub(super) failed: Option<CoreFailure>,
     next_token: u64,
 }
@@ -80,16 +80,16 @@
 impl ControlCore {
     pub(super) fn new(parts: CoreParts, folder: Option<OpenedFolder>) -> Self {
         let clock = ClockReader::start();
-        let hosts = HostBook::new(&parts.settings, &parts.role);
+        let host_book = HostBook::new(&parts.settings, &parts.role);
         let mut core = Self {
             clock,
             agreement: None,
             disk: None,
             state: FleetState::default(),
             plan: None,
-            hosts,
+            host_book,
             leadership: None,
-            relay: RelayBuffer::default(),
+            relay_buffer: RelayBuffer::default(),
             proposals: SortedTable::new(),
             reads: SortedTable::new(),
             failed: None,
@@ -97,22 +97,22 @@
             parts,
         };
         if let Some(opened) = folder {
-            core.take_part(opened);
+            core.join_consensus(opened);
         }
         core
     }
 
-    /// Begins again from what the disk holds, as a process that was started anew would; `None` when
-    /// told to stop.
+    /// Restarts from the state on disk, as a new process would; `None` if the role was stopped.
     ///
-    /// A full disk takes no bytes for seconds. A process that ended each time would be started over
-    /// and over, and none of its other work would be done. What is known of other control hosts is
-    /// kept: without it this one could take the deployment for new and found a second log.
-    fn begin_again(self, queue: &InputReceiver) -> Option<Self> {
-        let Self { parts, clock, hosts, disk, .. } = self;
-        // The storage thread has ended, and with it the folder's lock.
+    /// A full disk accepts no writes for seconds. If the process ended at each failed write, the
+    /// service manager would restart it repeatedly, and its other work would stop as well. What is
+    /// known of other control hosts is kept: without it this host could mistake the deployment for
+    /// a new one and bootstrap a second log.
+    fn restart(self, queue: &InputReceiver) -> Option<Self> {
+        let Self { parts, clock, host_book, disk, .. } = self;
+        // Dropping the sender ends the storage thread, which releases the lock on the folder.
         drop(disk);
-        if !refuse_for(REOPEN_PAUSE, queue) {
+        if !refuse_inputs(REOPEN_PAUSE, queue) {
             return None;
         }
         let folder = match parts.open_folder(queue) {
@@ -120,15 +120,15 @@
             FolderOpening::NoFolder => None,
             FolderOpening::Stopped => return None,
         };
-        let mut core = Self { clock, hosts, ..Self::new(parts, None) };
+        let mut core = Self { clock, host_book, ..Self::new(parts, None) };
         if let Some(opened) = folder {
-            core.take_part(opened);
+            core.join_consensus(opened);
         }
         Some(core)
     }
 
-    /// Takes part in the agreement with an opened folder.
-    fn take_part(&mut self, opened: OpenedFolder) {
+    /// Joins the consensus group with the opened data folder.
+    fn join_consensus(&mut self, opened: OpenedFolder) {
         let voters = 2 * self.parts.role.losses + 1;
         let settings = AgreementSettings {
             node: self.parts.settings.node_name(),
@@ -140,22 +140,23 @@
         };
         match disk::start(opened.folder, self.parts.inputs.clone()) {
             Ok(disk) => self.disk = Some(disk),
-            Err(error) => return log::error!("no storage thread: {error}; raise the limit"),
+            Err(error) => return log::error!("no storage thread: {error}; raise the thread limit"),
         }
         self.agreement = Some(AgreementCore::new(self.now(), settings, opened.recovered));
     }
 
-    /// Runs until told to stop.
+    /// Runs until stopped.
     pub(super) fn run(mut self, queue: &InputReceiver) {
         let mut next_tick = self.now();
         loop {
-            // What other hosts have said while this thread was busy counts before their silence does: a
-            // leader gave up its majority after a long step, with the answers of all others unread.
+            // Messages received while this thread was busy are processed before any timeout.
+            // Otherwise a leader steps down after a long step although the responses of all hosts
+            // are queued.
             for input in queue.urgent() {
                 if matches!(input, CoreInput::Stop) {
                     return;
                 }
-                self.handle(input);
+                self.handle_input(input);
             }
             let now = self.now();
             if let Some(agreement) = &mut self.agreement {
@@ -163,16 +164,16 @@
             }
             if now >= next_tick {
                 self.tick(now);
-                next_tick = now.after(TICK);
+                next_tick = now.after(TICK_INTERVAL);
             }
             while self.advance() {}
             match self.failed {
-                Some(CoreFailure::Disk) => match self.begin_again(queue) {
+                Some(CoreFailure::Disk) => match self.restart(queue) {
                     Some(core) => self = core,
                     None => return,
                 },
                 Some(CoreFailure::State) => {
-                    // A state that misses a command answers nobody.
+                    // A host that skipped a command must not reply to anyone.
                     let _ = self.parts.failure.try_send(RoleFailure::State);
                     return;
                 }
@@ -183,7 +184,7 @@
             let deadline = self.agreement.as_ref().map_or(next_tick, AgreementCore::deadline);
             let follow_up = self.leadership.as_ref().and_then(Leadership::follow_up_at);
             let due = next_tick.min(deadline).min(follow_up.unwrap_or(next_tick));
-            let due = due.min(self.relay.flush_at().unwrap_or(due));
+            let due = due.min(self.relay_buffer.flush_at().unwrap_or(due));
             let wait = Instant::now() + due.since(self.now());
             let first = match queue.recv_deadline(wait) {
                 Ok(input) => input,
@@ -194,7 +195,7 @@
                 if matches!(input, CoreInput::Stop) {
                     return;
                 }
-                self.handle(input);
+                self.handle_input(input);
             }
         }
     }
@@ -203,19 +204,21 @@
         self.clock.now()
     }
 
-    /// Who leads, as far as is known here.
+    /// The leader as known to this host; `None` if unknown or this host itself.
     pub(super) fn leader(&self) -> Option<NodeName> {
         let known = self.agreement.as_ref().and_then(|agreement| {
             let leader = agreement.leader()?;
             Some((agreement.term(), leader.clone()))
         });
-        self.hosts.leader(self.now(), known).filter(|node| *node != self.parts.settings.node_name())
+        self.host_book
+            .leader(self.now(), known)
+            .filter(|node| *node != self.parts.settings.node_name())
     }
 
-    /// Submits `command`; whoever waits learns the outcome once it is committed and applied.
+    /// Proposes `command`; `origin` learns the outcome after it is committed and applied.
     pub(super) fn submit(&mut self, command: &FleetCommand, origin: CommandOrigin) {
         let now = self.now();
-        let token = ProposalToken(self.take_token());
+        let token = ProposalToken(self.allocate_token());
         let proposed = match (codec::encode(command), &mut self.agreement) {
             (Ok(encoded), Some(agreement)) => agreement.propose(now, token, encoded).is_ok(),
             _ => false,
@@ -223,27 +226,27 @@
         if proposed {
             self.proposals.insert(token, origin);
         } else {
-            self.lose(origin);
+            self.handle_lost_command(origin);
         }
     }
 
-    /// Lets `origin` wait until a majority confirms that this host leads.
-    pub(super) fn confirm(&mut self, origin: ReadOrigin) {
+    /// Holds `origin` until a majority confirms that this host leads.
+    pub(super) fn confirm_leadership(&mut self, origin: ReadOrigin) {
         let now = self.now();
-        let token = ReadToken(self.take_token());
-        let asked = match &mut self.agreement {
+        let token = ReadToken(self.allocate_token());
+        let accepted = match &mut self.agreement {
             Some(agreement) => agreement.read(now, token).is_ok(),
             None => false,
         };
-        if asked {
+        if accepted {
             self.reads.insert(token, origin);
         } else {
-            self.unconfirmed(origin);
+            self.handle_unconfirmed_read(origin);
         }
     }
 
-    /// A command that may or may not be applied later.
-    pub(super) fn lose(&mut self, origin: CommandOrigin) {
+    /// Handles a command whose outcome is unknown: it may still be applied later.
+    pub(super) fn handle_lost_command(&mut self, origin: CommandOrigin) {
         match origin {
             CommandOrigin::Caller(reply) => {
                 let _ = reply.send(ControlReply::Unavailable);
@@ -253,37 +256,37 @@
                     leadership.director.command_done();
                 }
             }
-            CommandOrigin::Quarantine(print) => {
+            CommandOrigin::Quarantine(fingerprint) => {
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.quarantine.lost(print);
+                    leadership.quarantine.lost(fingerprint);
                 }
             }
         }
     }
 
-    /// A read that was not confirmed.
-    pub(super) fn unconfirmed(&mut self, origin: ReadOrigin) {
+    /// Handles a read for which leadership was not confirmed.
+    pub(super) fn handle_unconfirmed_read(&mut self, origin: ReadOrigin) {
         match origin {
             ReadOrigin::Plan(reply)
-            | ReadOrigin::Overtaken(reply)
+            | ReadOrigin::Superseded(reply)
             | ReadOrigin::Quarantine(reply)
             | ReadOrigin::Evacuated(reply) => self.redirect(reply),
-            ReadOrigin::Entry(_, writer) => self.name_leader(&writer),
+            ReadOrigin::Entry(_, writer) => self.send_leader_hint(&writer),
         }
     }
 
-    /// Sends a caller to the leader.
+    /// Redirects the sender of a call to the leader.
     pub(super) fn redirect(&self, reply: ReplySender) {
         let answer = self.leader().map_or(ControlReply::Unavailable, ControlReply::AskLeader);
         let _ = reply.send(answer);
     }
 
-    fn take_token(&mut self) -> u64 {
+    fn allocate_token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token
     }
 
-    fn handle(&mut self, input: CoreInput) {
+    fn handle_input(&mut self, input: CoreInput) {
         let now = self.now();
         match input {
             CoreInput::Core(CoreMessage::Agreement(message)) => {
@@ -291,32 +294,44 @@
                     agreement.receive(now, message);
                 }
             }
-            CoreInput::Core(CoreMessage::Hello(hello)) => self.take_hello(now, hello),
-            CoreInput::Core(CoreMessage::Beats(beats)) => self.take_beats(now, beats),
-            CoreInput::Core(CoreMessage::Ask { asker, probes }) => self.ask_for(&asker, probes),
+            CoreInput::Core(CoreMessage::Hello(hello)) => self.receive_hello(now, hello),
+            CoreInput::Core(CoreMessage::Beats(heartbeats)) => {
+                self.receive_heartbeats(now, heartbeats)
+            }
+            CoreInput::Core(CoreMessage::Ask { asker, probes }) => self.probe_for(&asker, probes),
             CoreInput::Core(CoreMessage::Told(answers)) => {
-                answers.into_iter().for_each(|answer| self.probed(now, answer));
+                answers.into_iter().for_each(|answer| self.receive_probe_result(now, answer));
             }
-            CoreInput::Stored { ticket } => {
+            CoreInput::BatchStored { ticket } => {
                 if let Some(agreement) = &mut self.agreement {
                     agreement.stored(now, ticket);
                 }
             }
             CoreInput::DiskFailed => self.failed = Some(CoreFailure::Disk),
-            CoreInput::Entry { report, writer } => self.take_report(now, report, writer),
-            CoreInput::Put { plan, reply } => self.put(now, plan, reply),
-            CoreInput::Get { reply } => self.confirm(ReadOrigin::Plan(reply)),
-            CoreInput::Quarantine { reply } => self.confirm(ReadOrigin::Quarantine(reply)),
-            CoreInput::Evacuated { reply } => self.confirm(ReadOrigin::Evacuated(reply)),
-            CoreInput::Zone { zone, wish, reply } => self.change_zone(now, zone, wish, reply),
-            CoreInput::Lift { print, reply } => self.lift_quarantine(print, reply),
-            CoreInput::Beat { beat, reply } => self.beat(now, beat, reply),
-            CoreInput::Leave { id, reply } => self.leave(id, reply),
-            CoreInput::Probed { answer, asker: None } => self.probed(now, answer),
+            CoreInput::Report { report, writer } => self.receive_report(now, report, writer),
+            CoreInput::PutPlan { plan, reply } => self.receive_plan(now, plan, reply),
+            CoreInput::GetPlan { reply } => self.confirm_leadership(ReadOrigin::Plan(reply)),
+            CoreInput::ListQuarantine { reply } => {
+                self.confirm_leadership(ReadOrigin::Quarantine(reply))
+            }
+            CoreInput::ListEvacuated { reply } => {
+                self.confirm_leadership(ReadOrigin::Evacuated(reply))
+            }
+            CoreInput::ChangeZone { zone, change, reply } => {
+                self.change_zone(now, zone, change, reply)
+            }
+            CoreInput::LiftQuarantine { fingerprint, reply } => {
+                self.lift_quarantine(fingerprint, reply)
+            }
+            CoreInput::Heartbeat { heartbeat, reply } => {
+                self.receive_heartbeat(now, heartbeat, reply)
+            }
+            CoreInput::Leave { id, reply } => self.receive_leave(id, reply),
+            CoreInput::Probed { answer, asker: None } => self.receive_probe_result(now, answer),
             CoreInput::Probed { answer, asker: Some(asker) } => {
-                self.relay.hold_answer(now, asker, answer);
+                self.relay_buffer.buffer_answer(now, asker, answer);
             }
-            CoreInput::Ordered { call, outcome } => self.ordered(now, &call, outcome),
+            CoreInput::Ordered { call, outcome } => self.receive_order_result(now, &call, outcome),
             CoreInput::Stop => {}
         }
     }
--- a/crates/gateway/src/control/disk.rs
+++ b/crates/gateway/src/control/disk.rs
@@ -7,10 +7,10 @@
 
 use super::input::{CoreInput, InputSender};
 
-/// Starts the thread; it ends when the returned sender is dropped, or at the first failure.
+/// Starts the storage thread, which ends when the returned sender is dropped or a write fails.
 ///
-/// The channel needs no bound of its own: a leader takes a bounded number of proposals, and a
-/// follower is sent a bounded number of bytes before it has answered.
+/// The channel needs no limit of its own: a leader accepts a limited number of proposals, and a
+/// follower receives a limited number of bytes before it has acknowledged them.
 pub(super) fn start(
     folder: DataFolder,
     inputs: InputSender,
@@ -19,9 +19,9 @@
     let run = move || {
         write_batches(folder, &queue, |written| {
             let input = match written {
-                Ok(stored) => CoreInput::Stored { ticket: stored.ticket },
+                Ok(stored) => CoreInput::BatchStored { ticket: stored.ticket },
                 Err(error) => {
-                    log::error!("control state cannot be kept: {error}");
+                    log::error!("cannot write control state; reopening the data folder: {error}");
                     CoreInput::DiskFailed
                 }
             };
--- a/crates/gateway/src/control/calls.rs
+++ b/crates/gateway/src/control/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! Orders and probes on their way to endpoints.
+//! Calls from control hosts to endpoints: orders and probes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,49 +15,50 @@
 use super::input::{CoreInput, InputSender, ProbeAnswer, ProbeResult};
 use briartray_http::{ConnectionPool, SendFailure};
 
-/// Time for a report. A report needs no slot; hosts are a few milliseconds apart.
+/// Timeout of a probe. An endpoint needs no free slot to report; hosts are a few milliseconds
+/// apart.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time after the end of a probe's time at which this thread must have noticed it. One that is later had no
-/// time to read answers: a leader that was short of processor time took hundreds of endpoints for dead,
-/// which made more to do.
-const THREAD_LATE: Duration = Duration::from_millis(50);
+/// Maximum delay with which this thread may notice a probe's timeout. If it is later, it had no
+/// time to read responses, so a missing one proves nothing. An overloaded leader used to count
+/// hundreds of endpoints as dead, which increased its load further.
+const MAX_THREAD_DELAY: Duration = Duration::from_millis(50);
 
-/// Time for the answer to an order.
+/// Timeout for the response to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Idle connections that are kept to one endpoint: calls to it come one at a time.
-const IDLE_CONNECTIONS: usize = 1;
+/// Idle connections to keep per endpoint: calls to one endpoint are sequential.
+const IDLE_CONNECTIONS_PER_ENDPOINT: usize = 1;
 
 /// A call to an endpoint.
 #[derive(Debug)]
 pub(super) enum EndpointCall {
-    /// Ask for a report, for another host that leads where `asker` names one.
+    /// Request a report, on behalf of the leader `asker` if another host leads.
     Probe { call: ProbeCall, asker: Option<NodeName> },
-    /// Give an order in the leader's term.
+    /// Send an order in the leader's term.
     Order { call: OrderCall, term: u64 },
 }
 
-/// Makes calls and tells the control thread what came of them.
+/// Calls endpoints and passes the results to the control thread.
 #[derive(Clone)]
-pub(super) struct EndpointCaller {
+pub(super) struct EndpointClient {
     pool: Rc<RefCell<ConnectionPool>>,
     clock: ClockReader,
     inputs: InputSender,
 }
 
-impl EndpointCaller {
+impl EndpointClient {
     pub(super) fn new(inputs: InputSender) -> Self {
         Self { pool: Rc::default(), clock: ClockReader::start(), inputs }
     }
 
-    /// Closes connections that are not used any more.
+    /// Closes connections that are no longer used.
     pub(super) fn prune(&self) {
         self.pool.borrow_mut().prune(self.clock.now());
     }
 
-    /// Makes `call`.
-    pub(super) async fn make(self, call: EndpointCall) {
+    /// Performs `call` and passes its result to the control thread.
+    pub(super) async fn run(self, call: EndpointCall) {
         let input = match call {
             EndpointCall::Probe { call, asker } => {
                 let result = self.probe(&call).await;
@@ -66,35 +67,37 @@
             EndpointCall::Order { call, term } => {
                 let outcome = self.order(&call, term).await;
                 log::info!(endpoint:% = call.id, term;
-                    "order {:?}: {outcome:?}", call.order);
+                    "outcome of order {:?}: {outcome:?}", call.order);
                 CoreInput::Ordered { call, outcome }
             }
         };
         if !self.inputs.try_send(input) {
-            log::warn!("the result of a call to an endpoint found no room and is dropped");
+            log::warn!("control input queue is full; dropping the result of an endpoint call");
         }
     }
 
     async fn probe(&self, probe: &ProbeCall) -> ProbeResult {
         let request = report_request(&probe.id, &probe.address);
         let began = self.clock.now();
-        let asked = tokio::time::timeout(PROBE_TIMEOUT, self.ask(&probe.address, request)).await;
-        let Ok(Ok((status, told, body))) = asked else {
-            let late = self.clock.now().since(began) > PROBE_TIMEOUT + THREAD_LATE;
+        let outcome =
+            tokio::time::timeout(PROBE_TIMEOUT, self.call_endpoint(&probe.address, request)).await;
+        let Ok(Ok((status, head, body))) = outcome else {
+            let late = self.clock.now().since(began) > PROBE_TIMEOUT + MAX_THREAD_DELAY;
             return if late { ProbeResult::Unread } else { ProbeResult::Silent };
         };
-        let other = told.endpoint.is_some_and(|endpoint| endpoint != probe.id.endpoint());
-        if status == StatusCode::MISDIRECTED_REQUEST || other {
+        let is_other = head.endpoint.is_some_and(|endpoint| endpoint != probe.id.endpoint());
+        if status == StatusCode::MISDIRECTED_REQUEST || is_other {
             return ProbeResult::OtherEndpoint;
         }
         match read_report(&body) {
-            // The endpoint has started anew under its old name, and is in no group.
-            Ok(told) if told.started.is_some() && told.started != probe.id.started_at() => {
+            // The endpoint has restarted under its previous name and belongs to no group.
+            Ok(report) if report.started.is_some() && report.started != probe.id.started_at() => {
                 ProbeResult::OtherEndpoint
             }
-            Ok(told) => ProbeResult::Told(told.report),
+            Ok(report) => ProbeResult::Told(report.report),
             Err(error) => {
-                log::warn!(endpoint:% = probe.id; "a report does not read: {error}");
+                log::warn!(endpoint:% = probe.id;
+                    "cannot decode endpoint report; treating the probe as unanswered: {error}");
                 ProbeResult::Silent
             }
         }
@@ -102,11 +105,12 @@
 
     async fn order(&self, call: &OrderCall, term: u64) -> OrderOutcome {
         let request = order_request(&call.id, &call.address, &call.order, term);
-        match tokio::time::timeout(ORDER_TIMEOUT, self.ask(&call.address, request)).await {
+        match tokio::time::timeout(ORDER_TIMEOUT, self.call_endpoint(&call.address, request)).await
+        {
             Ok(Ok((status, _, body))) => {
                 if !status.is_success() {
                     log::warn!(endpoint:% = call.id, status = status.as_u16();
-                        "an order is not taken: {}", String::from_utf8_lossy(&body));
+                        "endpoint refused order: {}", String::from_utf8_lossy(&body));
                 }
                 order_outcome(status)
             }
@@ -114,7 +118,7 @@
         }
     }
 
-    async fn ask(
+    async fn call_endpoint(
         &self,
         address: &str,
         request: Request<Bytes>,
@@ -124,11 +128,17 @@
         let connection = briartray_http::connect(idle, address).await?;
         let exchange = connection.send(request).await?;
         let (head, body, connection) = exchange.whole().await?;
-        let told = AnswerHead::read(head.status, &head.headers);
-        if !told.closes {
+        let answer_head = AnswerHead::read(head.status, &head.headers);
+        if !answer_head.closes {
             let now = self.clock.now();
-            self.pool.borrow_mut().put(now, address, connection, told.idle_limit, IDLE_CONNECTIONS);
+            self.pool.borrow_mut().put(
+                now,
+                address,
+                connection,
+                answer_head.idle_limit,
+                IDLE_CONNECTIONS_PER_ENDPOINT,
+            );
         }
-        Ok((head.status, told, body))
+        Ok((head.status, answer_head, body))
     }
 }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -1,4 +1,5 @@
-//! What operators declare, and what endpoints tell: beats, notices of leaving, answers to probes and orders.
+//! Handling of deployment plans from operators, and of heartbeats, leave notices, and probe and
+//! order results from endpoints.
 
 use briartray_fleet::director::{EndpointBeat, OrderCall, OrderOutcome};
 use briartray_fleet::state::{FleetCommand, StoredPlan};
@@ -10,65 +11,70 @@
 use super::origin::{CommandOrigin, ReadOrigin};
 
 impl ControlCore {
-    /// Takes a declaration of an operator.
-    pub(super) fn put(&mut self, now: TimePoint, plan: StoredPlan, reply: ReplySender) {
+    /// Accepts a deployment plan from an operator.
+    pub(super) fn receive_plan(&mut self, now: TimePoint, plan: StoredPlan, reply: ReplySender) {
         if !self.is_established() {
             return self.redirect(reply);
         }
-        // A single voter could lose what it acknowledged together with its disk.
+        // A single voter could lose an acknowledged plan together with its disk.
         if !self.has_voters(now) {
             let _ = reply.send(ControlReply::Unavailable);
             return;
         }
         let held = self.state.plan().is_some_and(|held| held.version >= plan.version);
         if held {
-            self.confirm(ReadOrigin::Overtaken(reply));
+            self.confirm_leadership(ReadOrigin::Superseded(reply));
         } else {
             self.submit(&FleetCommand::PutPlan(plan), CommandOrigin::Caller(reply));
         }
     }
 
-    /// Takes the beat of an endpoint that found this host.
-    pub(super) fn beat(&mut self, now: TimePoint, beat: EndpointBeat, reply: ReplySender) {
+    /// Accepts a heartbeat that an endpoint sent to this host.
+    pub(super) fn receive_heartbeat(
+        &mut self,
+        now: TimePoint,
+        heartbeat: EndpointBeat,
+        reply: ReplySender,
+    ) {
         if !self.is_established() {
-            return self.relay_beat(now, beat, reply);
+            return self.relay_heartbeat(now, heartbeat, reply);
         }
-        let (id, leaving) = (beat.id.clone(), beat.leaving);
-        self.take_beats(now, vec![beat]);
+        let (id, leaving) = (heartbeat.id.clone(), heartbeat.leaving);
+        self.receive_heartbeats(now, vec![heartbeat]);
         if leaving && !self.state.is_leaving(&id) {
-            self.leave(id, reply);
+            self.receive_leave(id, reply);
         } else {
             let _ = reply.send(ControlReply::Done);
         }
     }
 
-    /// An endpoint's notice counts only when a majority holds it: a later leader must not send
-    /// work there again.
-    pub(super) fn leave(&mut self, id: IncarnationId, reply: ReplySender) {
+    /// Records that an endpoint is leaving. The notice is acknowledged only after a majority stored
+    /// it: a later leader must not send work there again.
+    pub(super) fn receive_leave(&mut self, id: IncarnationId, reply: ReplySender) {
         let Some(leadership) = self.leadership.as_ref().filter(|lead| lead.established) else {
             return self.redirect(reply);
         };
         let id = leadership.director.leaving_start(id);
-        log::info!(endpoint:% = id; "an endpoint is leaving");
+        log::info!(endpoint:% = id; "endpoint is leaving; recording that it takes no new work");
         self.submit(&FleetCommand::MarkLeaving(id), CommandOrigin::Caller(reply));
     }
 
-    /// Takes beats that came here, or to another control host.
-    pub(super) fn take_beats(&mut self, now: TimePoint, beats: Vec<EndpointBeat>) {
+    /// Processes heartbeats received by this host or relayed by another control host.
+    pub(super) fn receive_heartbeats(&mut self, now: TimePoint, heartbeats: Vec<EndpointBeat>) {
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.established) else {
             return;
         };
-        for beat in beats {
-            log::trace!("beat {beat:?}");
-            if leadership.director.beat(now, beat) {
-                leadership.dirty = true;
+        for heartbeat in heartbeats {
+            log::trace!("received {heartbeat:?}");
+            if leadership.director.beat(now, heartbeat) {
+                leadership.view_dirty = true;
                 leadership.step_due = true;
             }
         }
     }
 
-    /// Takes what came of asking an endpoint for a report.
-    pub(super) fn probed(&mut self, now: TimePoint, answer: ProbeAnswer) {
+    /// Processes the result of a probe.
+    pub(super) fn receive_probe_result(&mut self, now: TimePoint, answer: ProbeAnswer) {
         let ProbeAnswer { id, result } = &answer;
         let Some(leadership) = &mut self.leadership else { return };
         match result {
@@ -83,25 +89,30 @@
             }
             ProbeResult::Silent => {
                 self.parts.metrics.silent_probes.inc();
-                log::info!(endpoint:% = id; "an endpoint does not answer a probe");
+                log::info!(endpoint:% = id; "endpoint did not answer a probe");
                 leadership.director.probed(now, id, None);
                 leadership.step_due = true;
             }
         }
-        leadership.dirty = true;
+        leadership.view_dirty = true;
     }
 
-    /// Takes what came of an order.
-    pub(super) fn ordered(&mut self, now: TimePoint, call: &OrderCall, outcome: OrderOutcome) {
-        self.parts.metrics.ordered(outcome_word(outcome));
+    /// Processes the result of an order.
+    pub(super) fn receive_order_result(
+        &mut self,
+        now: TimePoint,
+        call: &OrderCall,
+        outcome: OrderOutcome,
+    ) {
+        self.parts.metrics.count_order(outcome_label(outcome));
         let Some(leadership) = &mut self.leadership else { return };
         leadership.director.ordered(now, call, outcome);
-        leadership.dirty |= outcome != OrderOutcome::Unknown;
+        leadership.view_dirty |= outcome != OrderOutcome::Unknown;
         leadership.step_due = true;
     }
 }
 
-fn outcome_word(outcome: OrderOutcome) -> &'static str {
+fn outcome_label(outcome: OrderOutcome) -> &'static str {
     match outcome {
         OrderOutcome::Begun => "begun",
         OrderOutcome::Holds => "holds",
--- a/crates/gateway/src/control/entry_session.rs
+++ b/crates/gateway/src/control/entry_session.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of an entry that reports to it.
+//! The leader's state for an entry that sends reports.
 
 use std::time::Duration;
 
@@ -6,54 +6,56 @@
 use briartray_link::LinkWriter;
 use briartray_model::TimePoint;
 
-/// Time between two whole views to one entry: a report that says it holds none may have been written before
-/// the one that was sent last had come.
-const WHOLE_EVERY: Duration = Duration::from_millis(200);
+/// Minimum interval between two complete views to one entry. A report that lists no view may have
+/// been written before the last complete view arrived.
+const COMPLETE_VIEW_INTERVAL: Duration = Duration::from_millis(200);
 
 /// An entry that reports to this leader.
 pub(super) struct EntrySession {
-    /// The stream of its last report.
+    /// Stream on which the last report arrived.
     pub(super) writer: LinkWriter,
-    /// When its last report came.
+    /// When the last report arrived.
     pub(super) heard: TimePoint,
-    /// Version of the declaration that it holds, or that is on its way to it on this stream.
+    /// Version of the deployment plan that the entry holds or that was sent on this stream.
     pub(super) plan: Option<u64>,
-    /// View that the entry holds, or that is on its way to it on this stream.
+    /// Version of the view that the entry holds or that was sent on this stream.
     pub(super) view: Option<ViewVersion>,
-    /// Whether it keeps its view until this leader has heard of all endpoints.
+    /// Whether the entry keeps its view until this leader has heard from all endpoints.
     pub(super) settled: bool,
-    /// View of the quarantine that it holds, or that is on its way to it on this stream.
-    pub(super) prints: ViewVersion,
-    /// When it was sent a whole view.
-    pub(super) whole_at: Option<TimePoint>,
+    /// Version of the quarantine view that the entry holds or that was sent on this stream.
+    pub(super) quarantine_version: ViewVersion,
+    /// When the last complete view was sent.
+    pub(super) complete_view_at: Option<TimePoint>,
 }
 
 impl EntrySession {
-    /// A session that begins with `report`.
+    /// Starts a session with its first report.
     pub(super) fn new(now: TimePoint, report: &EntryReport, writer: LinkWriter) -> Self {
         let (plan, view) = (report.plan, Some(report.view));
-        let (settled, prints) = (report.settled, report.prints);
-        Self { writer, heard: now, plan, view, settled, prints, whole_at: None }
+        let (settled, quarantine_version) = (report.settled, report.prints);
+        Self { writer, heard: now, plan, view, settled, quarantine_version, complete_view_at: None }
     }
 
-    /// Notes what was sent on the stream.
-    pub(super) fn sent(&mut self, now: TimePoint, plan: Option<u64>, notice: &EntryNotice) {
+    /// Records what was sent on the stream.
+    pub(super) fn record_sent(&mut self, now: TimePoint, plan: Option<u64>, notice: &EntryNotice) {
         self.plan = self.plan.max(plan);
-        self.prints = notice.prints.as_ref().map_or(self.prints, |prints| prints.version);
+        self.quarantine_version =
+            notice.prints.as_ref().map_or(self.quarantine_version, |prints| prints.version);
         let Some(view) = &notice.view else { return };
         self.view = Some(view.version);
         if view.base.is_none() {
-            self.whole_at = Some(now);
+            self.complete_view_at = Some(now);
         }
     }
 
-    /// Takes what a report says that the entry holds.
-    pub(super) fn heard(&mut self, now: TimePoint, report: &EntryReport) {
+    /// Records the state listed in a report.
+    pub(super) fn record_report(&mut self, now: TimePoint, report: &EntryReport) {
         self.heard = now;
         self.settled = report.settled;
         self.plan = self.plan.max(report.plan);
-        let on_its_way = self.whole_at.is_some_and(|at| now.since(at) < WHOLE_EVERY);
-        if report.view == ViewVersion::default() && !on_its_way {
+        let in_flight =
+            self.complete_view_at.is_some_and(|at| now.since(at) < COMPLETE_VIEW_INTERVAL);
+        if report.view == ViewVersion::default() && !in_flight {
             self.view = None;
         }
     }
--- a/crates/gateway/src/control/evacuation.rs
+++ b/crates/gateway/src/control/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuation of availability zones, as operators ask for it.
+//! Evacuation of availability zones on behalf of operators.
 
 use briartray_fleet::state::FleetCommand;
 use briartray_model::TimePoint;
@@ -8,28 +8,30 @@
 use super::input::{ControlReply, ReplySender};
 use super::origin::CommandOrigin;
 
-/// What an operator wants of a zone.
+/// Change of a zone requested by an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ZoneWish {
-    /// Nothing more is sent to its endpoints.
+pub(super) enum ZoneChange {
+    /// Send no more requests to the endpoints of the zone.
     Evacuate,
-    /// Its endpoints are sent to again.
+    /// Send requests to the endpoints of the zone again.
     Readmit,
 }
 
 impl ControlCore {
-    /// Evacuates or readmits a zone; acknowledged once a majority holds it, also where it holds already.
+    /// Evacuates or readmits a zone. The change is acknowledged after a majority stored it, even if
+    /// the zone is already in the requested state.
     pub(super) fn change_zone(
         &mut self,
         now: TimePoint,
         zone: ZoneName,
-        wish: ZoneWish,
+        change: ZoneChange,
         reply: ReplySender,
     ) {
         if !self.is_established() {
             return self.redirect(reply);
         }
-        // As with a declaration: a single voter could lose what it acknowledged together with its disk.
+        // As with a deployment plan, a single voter could lose an acknowledged change together with
+        // its disk.
         if !self.has_voters(now) {
             let _ = reply.send(ControlReply::Unavailable);
             return;
@@ -38,14 +40,14 @@
             let _ = reply.send(ControlReply::UnknownZone(zone));
             return;
         }
-        let command = match wish {
-            ZoneWish::Evacuate => FleetCommand::EvacuateZone(zone),
-            ZoneWish::Readmit => FleetCommand::ReadmitZone(zone),
+        let command = match change {
+            ZoneChange::Evacuate => FleetCommand::EvacuateZone(zone),
+            ZoneChange::Readmit => FleetCommand::ReadmitZone(zone),
         };
         self.submit(&command, CommandOrigin::Caller(reply));
     }
 
-    /// Whether the deployment has a zone of this name.
+    /// Whether the zone belongs to the deployment.
     fn knows_zone(&self, zone: &ZoneName) -> bool {
         let named = &self.parts.role.zones;
         let announced = || self.state.endpoints().values().any(|record| record.zone == *zone);
--- a/crates/gateway/src/control/evacuation_call.rs
+++ b/crates/gateway/src/control/evacuation_call.rs
@@ -1,4 +1,4 @@
-//! How operators see and change the evacuation of zones on the product's own paths.
+//! Operator calls to list and change evacuated zones on the gateway's own paths.
 
 use briartray_http::AnswerBody;
 use briartray_model::names::ZoneName;
@@ -8,16 +8,16 @@
 use serde_json::json;
 
 use super::api::json_answer;
-use super::evacuation::ZoneWish;
+use super::evacuation::ZoneChange;
 use super::input::{CoreInput, ReplySender};
 
-/// Where the evacuated zones are listed.
+/// Path that lists the evacuated zones.
 const LIST_PATH: &str = "/v1/evacuations";
 
-/// Where a zone is evacuated.
+/// Path that evacuates a zone.
 const START_PATH: &str = "/v1/evacuations/start";
 
-/// Where a zone is readmitted.
+/// Path that readmits a zone.
 const END_PATH: &str = "/v1/evacuations/end";
 
 #[derive(Deserialize)]
@@ -26,44 +26,44 @@
     zone: ZoneName,
 }
 
-/// A call of an operator about the evacuation of zones.
+/// An operator call about zone evacuation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum EvacuationCall {
     /// List the evacuated zones.
     List,
     /// Evacuate or readmit a zone.
-    Change(ZoneName, ZoneWish),
+    Change(ZoneName, ZoneChange),
 }
 
 impl EvacuationCall {
-    /// Reads a call; `None` when it is about something else.
+    /// Parses a call; `None` if the path belongs to another API.
     ///
     /// # Errors
-    /// What is wrong with the body.
+    /// A message that describes what is wrong with the body.
     pub(super) fn read(head: &Parts, body: &[u8]) -> Option<Result<Self, String>> {
         match (&head.method, head.uri.path()) {
             (&Method::GET, LIST_PATH) => Some(Ok(Self::List)),
-            (&Method::POST, START_PATH) => Some(read_change(body, ZoneWish::Evacuate)),
-            (&Method::POST, END_PATH) => Some(read_change(body, ZoneWish::Readmit)),
+            (&Method::POST, START_PATH) => Some(read_change(body, ZoneChange::Evacuate)),
+            (&Method::POST, END_PATH) => Some(read_change(body, ZoneChange::Readmit)),
             _ => None,
         }
     }
 
-    /// What the control thread is asked.
+    /// The input to the control thread for this call.
     pub(super) fn input(self, reply: ReplySender) -> CoreInput {
         match self {
-            Self::List => CoreInput::Evacuated { reply },
-            Self::Change(zone, wish) => CoreInput::Zone { zone, wish, reply },
+            Self::List => CoreInput::ListEvacuated { reply },
+            Self::Change(zone, change) => CoreInput::ChangeZone { zone, change, reply },
         }
     }
 }
 
-fn read_change(body: &[u8], wish: ZoneWish) -> Result<EvacuationCall, String> {
+fn read_change(body: &[u8], change: ZoneChange) -> Result<EvacuationCall, String> {
     let call: ZoneCall = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    Ok(EvacuationCall::Change(call.zone, wish))
+    Ok(EvacuationCall::Change(call.zone, change))
 }
 
-/// The answer that lists `zones`.
+/// The response that lists `zones`.
 pub(super) fn evacuation_answer(zones: &[ZoneName]) -> Response<AnswerBody> {
     let zones: Vec<_> = zones.iter().map(|zone| json!({ "zone": zone.as_str() })).collect();
     json_answer(json!(zones).to_string())
--- a/crates/gateway/src/control/folder.rs
+++ b/crates/gateway/src/control/folder.rs
@@ -1,4 +1,4 @@
-//! Opening the data folder of a control host, however long its disk takes.
+//! Opening of a control host's data folder, with retries until its disk responds.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,27 +10,27 @@
 
 use super::input::{CoreInput, InputReceiver};
 
-/// Pause before a data folder that cannot be opened is tried again: disks stall for seconds, and
-/// a process that ended instead would be started over and over.
+/// Pause before another attempt to open the data folder. Disks stall for seconds, and a process
+/// that exited instead would be restarted repeatedly.
 pub(super) const REOPEN_PAUSE: Duration = Duration::from_millis(300);
 
-/// Gives the file operations of a data folder each time it is opened.
+/// Creates the file access object of the data folder each time the folder is opened.
 pub type FileSource = Box<dyn Fn() -> FileAccess + Send>;
 
-/// What became of opening a data folder.
+/// Result of opening the data folder.
 pub(super) enum FolderOpening {
-    /// It is open.
+    /// The folder is open.
     Opened(OpenedFolder),
-    /// The host has none.
+    /// The host has no data folder.
     NoFolder,
-    /// The role was told to stop.
+    /// The role was stopped.
     Stopped,
 }
 
-/// Opens the data folder, however long its disk takes; inputs of `queue` are refused meanwhile.
+/// Opens the data folder, retrying until it succeeds. Inputs in `queue` are refused meanwhile.
 ///
-/// A folder whose contents do not read is begun anew: its host then takes part as one that has
-/// lost its disk, and does not vote before the others have brought it up to date.
+/// A folder with unreadable contents is cleared. The host then rejoins like one that lost its disk,
+/// and does not vote before the other hosts have brought it up to date.
 pub(super) fn open_folder(
     path: Option<&Path>,
     node: &NodeName,
@@ -43,26 +43,28 @@
         match DataFolder::open(path, node, &[], fresh, files()) {
             Ok(opened) => return FolderOpening::Opened(opened),
             Err(error) if error.is_unusable_contents() => {
-                log::error!("the data folder is begun anew: {error}");
+                log::error!(
+                    "data folder is unreadable; clearing it and rejoining as empty: {error}"
+                );
                 clear_folder(path);
             }
-            Err(error) => log::error!("{error}"),
+            Err(error) => log::error!("cannot open the data folder; trying again: {error}"),
         }
-        if !refuse_for(REOPEN_PAUSE, queue) {
+        if !refuse_inputs(REOPEN_PAUSE, queue) {
             return FolderOpening::Stopped;
         }
     }
 }
 
-/// Drops inputs for `pause`: whoever waits for an answer is refused at once. `false` when the role
-/// is to stop.
+/// Drops inputs for `pause`, so their senders are refused at once. Returns `false` if the role is
+/// to stop.
 ///
-/// Inputs that were left to wait would fill the queue, and the threads that feed it would stand
-/// still, the one that asks for a stop among them.
-pub(super) fn refuse_for(pause: Duration, queue: &InputReceiver) -> bool {
-    let ends = Instant::now() + pause;
+/// If inputs were left in the queue, it would fill up and block the threads that feed it, including
+/// the one that requests the stop.
+pub(super) fn refuse_inputs(pause: Duration, queue: &InputReceiver) -> bool {
+    let deadline = Instant::now() + pause;
     loop {
-        match queue.recv_deadline(ends) {
+        match queue.recv_deadline(deadline) {
             Ok(CoreInput::Stop) | Err(RecvTimeoutError::Disconnected) => return false,
             Ok(_) => {}
             Err(RecvTimeoutError::Timeout) => return true,
@@ -74,7 +76,7 @@
     let Ok(entries) = std::fs::read_dir(path) else { return };
     for entry in entries.flatten() {
         if let Err(error) = std::fs::remove_file(entry.path()) {
-            log::error!("{} cannot be removed: {error}", entry.path().display());
+            log::error!("cannot remove {}: {error}", entry.path().display());
         }
     }
 }
--- a/crates/gateway/src/control/host_book.rs
+++ b/crates/gateway/src/control/host_book.rs
@@ -1,6 +1,7 @@
-//! Which control hosts there are, and which of them founds the log.
+//! The known control hosts, and the decision which of them bootstraps the log.
 //!
-//! A process is told of three others at most, so hosts greet each other and pass on whom they know.
+//! A process is given the addresses of at most three other hosts, so hosts exchange hello messages
+//! that list the hosts they know.
 
 use std::time::Duration;
 
@@ -10,42 +11,43 @@
 
 use crate::settings::{ControlRole, GatewaySettings};
 
-/// Time after the start before the log is founded: processes start within 0.3 s of each other.
-const FOUND_AFTER: Duration = Duration::from_millis(400);
+/// Delay after the start before the log is bootstrapped: processes start within 0.3 s of each
+/// other.
+const BOOTSTRAP_DELAY: Duration = Duration::from_millis(400);
 
-/// Time after which the log is founded although a seed has not answered.
-const FOUND_ANYWAY: Duration = Duration::from_millis(4_000);
+/// Time after the start from which the log is bootstrapped even if a seed has not responded.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Time without a greeting after which a host is not offered to others.
-pub(super) const SILENT: Duration = Duration::from_secs(3);
+/// Time without a hello after which a host is no longer announced to others.
+pub(super) const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for which a leader's name is believed without news of it.
-const LEADER_NEWS: Duration = Duration::from_secs(3);
+/// Time for which a leader hint is valid unless it is renewed.
+const LEADER_HINT_TTL: Duration = Duration::from_secs(3);
 
-/// What is known of another control host.
+/// What is known about another control host.
 #[derive(Debug, Clone)]
 pub(super) struct KnownHost {
-    /// Its last greeting.
+    /// Its most recent hello.
     pub(super) hello: Option<HostHello>,
-    /// When it was heard of last.
+    /// When it was last heard from, directly or through another host.
     pub(super) heard: TimePoint,
 }
 
-/// The control hosts that this one knows.
+/// The control hosts known to this one.
 #[derive(Debug)]
 pub(super) struct HostBook {
     own: NodeName,
     seeds: Vec<NodeName>,
     first_start: bool,
-    /// Every other control host that was heard of.
+    /// All other known control hosts.
     pub(super) hosts: SortedTable<NodeName, KnownHost>,
-    /// When the others are to be greeted again.
-    pub(super) greet_at: TimePoint,
+    /// When the next hello is due.
+    pub(super) next_hello_at: TimePoint,
     leader: Option<(TermNumber, NodeName, TimePoint)>,
 }
 
 impl HostBook {
-    /// The hosts that the settings name.
+    /// Creates the book with the seeds from the settings.
     pub(super) fn new(settings: &GatewaySettings, role: &ControlRole) -> Self {
         let own = settings.node_name();
         let seeds: Vec<NodeName> =
@@ -58,42 +60,43 @@
             hosts: seeds.iter().map(known).collect(),
             seeds,
             first_start: role.first_start,
-            greet_at: TimePoint::default(),
+            next_hello_at: TimePoint::default(),
             leader: None,
         }
     }
 
-    /// Names of all known control hosts, this one among them.
+    /// Names of all known control hosts, including this one.
     pub(super) fn names(&self) -> Vec<NodeName> {
         self.hosts.keys().cloned().chain([self.own.clone()]).collect()
     }
 
-    /// Who leads: the one of the highest term that was heard of lately.
+    /// The leader with the highest term among the recent leader hint and `own`, the leader known to
+    /// this host's consensus core.
     pub(super) fn leader(
         &self,
         now: TimePoint,
         own: Option<(TermNumber, NodeName)>,
     ) -> Option<NodeName> {
-        let told = self
+        let hint = self
             .leader
             .as_ref()
-            .filter(|(_, _, at)| now.since(*at) < LEADER_NEWS)
+            .filter(|(_, _, at)| now.since(*at) < LEADER_HINT_TTL)
             .map(|(term, node, _)| (*term, node.clone()));
-        own.into_iter().chain(told).max_by_key(|(term, _)| *term).map(|(_, node)| node)
+        own.into_iter().chain(hint).max_by_key(|(term, _)| *term).map(|(_, node)| node)
     }
 
-    /// Takes a greeting, and whom it names.
-    pub(super) fn take(&mut self, now: TimePoint, hello: HostHello) {
+    /// Records a hello, the hosts it lists and its leader hint.
+    pub(super) fn receive_hello(&mut self, now: TimePoint, hello: HostHello) {
         for node in hello.known.iter().filter(|node| **node != self.own) {
             let fresh = || KnownHost { hello: None, heard: now };
             self.hosts.get_or_insert_with(node.clone(), fresh);
         }
         if let Some(LeaderHint { term, node }) = hello.leader.clone() {
             let newer = self.leader.as_ref().is_none_or(|(known, _, at)| {
-                // Only a leader's own word renews what is believed of it.
+                // Only a hello from the leader itself renews a hint.
                 term > *known
                     || (term == *known && node == hello.node)
-                    || now.since(*at) >= LEADER_NEWS
+                    || now.since(*at) >= LEADER_HINT_TTL
             });
             if newer {
                 self.leader = Some((term, node, now));
@@ -103,8 +106,8 @@
         self.hosts.insert(node, KnownHost { hello: Some(hello), heard: now });
     }
 
-    /// Hosts with a disk that were heard of within `limit`.
-    pub(super) fn with_disk(&self, now: TimePoint, limit: Duration) -> Vec<NodeName> {
+    /// Hosts with a data folder that were heard from within `limit`.
+    pub(super) fn hosts_with_disk(&self, now: TimePoint, limit: Duration) -> Vec<NodeName> {
         self.hosts
             .iter()
             .filter(|(_, host)| now.since(host.heard) < limit)
@@ -113,26 +116,32 @@
             .collect()
     }
 
-    /// Other control hosts that were heard of within `limit`.
-    pub(super) fn live(&self, now: TimePoint, limit: Duration) -> Vec<NodeName> {
+    /// Other control hosts that were heard from within `limit`.
+    pub(super) fn live_hosts(&self, now: TimePoint, limit: Duration) -> Vec<NodeName> {
         let heard = |host: &KnownHost| host.hello.is_some() && now.since(host.heard) < limit;
         self.hosts.iter().filter(|(_, host)| heard(host)).map(|(node, _)| node.clone()).collect()
     }
 
-    /// Whether `node` was not heard of within `limit`.
+    /// Whether `node` was not heard from within `limit`.
     pub(super) fn is_silent(&self, now: TimePoint, node: &NodeName, limit: Duration) -> bool {
         self.hosts.get(node).is_none_or(|host| now.since(host.heard) >= limit)
     }
 
-    /// Whether this host is the one to found the log.
-    pub(super) fn founds(&self, now: TimePoint) -> bool {
+    /// Whether this host should bootstrap the log.
+    pub(super) fn should_bootstrap(&self, now: TimePoint) -> bool {
         let since_start = now.since(TimePoint::default());
-        let answered =
+        let has_responded =
             |seed: &NodeName| self.hosts.get(seed).is_some_and(|host| host.hello.is_some());
-        let complete = self.seeds.iter().all(answered) || since_start >= FOUND_ANYWAY;
-        let taken = self.leader.is_some()
+        let all_seeds_responded =
+            self.seeds.iter().all(has_responded) || since_start >= BOOTSTRAP_TIMEOUT;
+        let log_exists = self.leader.is_some()
             || self.hosts.values().any(|host| host.hello.as_ref().is_some_and(|h| h.founded));
-        let lowest = self.with_disk(now, SILENT).iter().all(|other| self.own < *other);
-        self.first_start && since_start >= FOUND_AFTER && complete && !taken && lowest
+        let is_lowest =
+            self.hosts_with_disk(now, HELLO_TIMEOUT).iter().all(|other| self.own < *other);
+        self.first_start
+            && since_start >= BOOTSTRAP_DELAY
+            && all_seeds_responded
+            && !log_exists
+            && is_lowest
     }
 }
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the control thread, and what its callers are answered.
+//! Inputs of the control thread and its replies.
 
 use std::time::Instant;
 
@@ -13,174 +13,175 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use super::evacuation::ZoneWish;
+use super::evacuation::ZoneChange;
 
-/// Inputs of each kind that may wait for the control thread.
-const INPUT_QUEUE: usize = 8_192;
+/// Maximum number of queued inputs of each kind.
+const MAX_QUEUED_INPUTS: usize = 8_192;
 
-/// Inputs of endpoints that are taken after all others were: a step of the director follows them.
-const ENDPOINT_INPUTS: usize = 128;
+/// Maximum number of endpoint inputs processed between two steps; they are taken after all others,
+/// and a director step follows.
+const MAX_ENDPOINT_INPUTS: usize = 128;
 
-/// Other inputs that share one step of the agreement, and so one sync, at most.
-const URGENT_INPUTS: usize = 512;
+/// Maximum number of other inputs that share one step of the consensus core, and so one disk sync.
+const MAX_URGENT_INPUTS: usize = 512;
 
-/// What control hosts send each other.
+/// Messages between control hosts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) enum CoreMessage {
-    /// A message of the replicated log.
+    /// A message of the consensus protocol.
     Agreement(PeerMessage),
-    /// News of the sender.
+    /// The sender's state and the hosts it knows.
     Hello(HostHello),
-    /// Beats that the sender took for the leader.
+    /// Heartbeats received by the sender, relayed to the leader.
     Beats(Vec<EndpointBeat>),
-    /// The leader wants reports that the sender's reader is to ask for.
+    /// The leader asks the receiver to probe endpoints.
     Ask {
         /// The leader.
         asker: NodeName,
-        /// Endpoints to ask.
+        /// Endpoints to probe.
         probes: Vec<ProbeCall>,
     },
-    /// What came of them.
+    /// Results of these probes.
     Told(Vec<ProbeAnswer>),
 }
 
-/// An answer to a call of an operator or endpoint.
+/// Reply to a call from an operator or endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum ControlReply {
-    /// Done, and kept by a majority where that is called for.
+    /// The call succeeded, and a majority has stored the change if there is one.
     Done,
-    /// The declaration in force.
+    /// The deployment plan in force.
     Plan(Vec<u8>),
-    /// Nothing was ever declared.
+    /// No deployment plan was ever accepted.
     NoPlan,
-    /// The requests in quarantine, the oldest first.
+    /// The quarantined requests, oldest first.
     Quarantine(Vec<QuarantineRecord>),
     /// The evacuated zones.
     Evacuated(Vec<ZoneName>),
     /// The deployment has no such zone.
     UnknownZone(ZoneName),
-    /// Ask this host.
+    /// Redirect to this host.
     AskLeader(NodeName),
-    /// It cannot be answered truthfully now.
+    /// No correct reply is possible at the moment.
     Unavailable,
 }
 
-/// Where an answer goes.
+/// Channel for the reply to a call.
 pub(super) type ReplySender = oneshot::Sender<ControlReply>;
 
-/// What came of asking one endpoint for a report.
+/// Result of probing one endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct ProbeAnswer {
     /// The endpoint.
     pub(super) id: IncarnationId,
-    /// What came.
+    /// The result.
     pub(super) result: ProbeResult,
 }
 
-/// A probe that has ended.
+/// Outcome of a probe.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) enum ProbeResult {
-    /// The endpoint told its state.
+    /// The endpoint reported its state.
     Told(EndpointReport),
-    /// Another endpoint has the address.
+    /// Another endpoint uses the address.
     OtherEndpoint,
-    /// Nothing came.
+    /// No response arrived.
     Silent,
-    /// This process was too late to read what may have come: that says nothing about the endpoint.
+    /// This process was too slow to read a response, which proves nothing about the endpoint.
     Unread,
 }
 
-/// One input of the control thread.
+/// An input of the control thread.
 #[derive(Debug)]
 pub(super) enum CoreInput {
-    /// A message of another control host.
+    /// A message from another control host.
     Core(CoreMessage),
-    /// A batch is synced.
-    Stored { ticket: u64 },
-    /// The disk failed.
+    /// A batch was synced to disk.
+    BatchStored { ticket: u64 },
+    /// A write to disk failed.
     DiskFailed,
-    /// An entry reports.
-    Entry { report: EntryReport, writer: LinkWriter },
-    /// An operator's declaration, already checked.
-    Put { plan: StoredPlan, reply: ReplySender },
-    /// An operator asks for the declaration in force.
-    Get { reply: ReplySender },
-    /// An operator asks for the requests in quarantine.
-    Quarantine { reply: ReplySender },
-    /// An operator lets a request out of quarantine.
-    Lift { print: RequestPrint, reply: ReplySender },
-    /// An operator asks for the evacuated zones.
-    Evacuated { reply: ReplySender },
+    /// A report from an entry.
+    Report { report: EntryReport, writer: LinkWriter },
+    /// An operator sends a validated deployment plan.
+    PutPlan { plan: StoredPlan, reply: ReplySender },
+    /// An operator requests the deployment plan in force.
+    GetPlan { reply: ReplySender },
+    /// An operator requests the quarantined requests.
+    ListQuarantine { reply: ReplySender },
+    /// An operator lifts the quarantine of a request.
+    LiftQuarantine { fingerprint: RequestPrint, reply: ReplySender },
+    /// An operator requests the evacuated zones.
+    ListEvacuated { reply: ReplySender },
     /// An operator evacuates or readmits a zone.
-    Zone { zone: ZoneName, wish: ZoneWish, reply: ReplySender },
-    /// An endpoint announces itself.
-    Beat { beat: EndpointBeat, reply: ReplySender },
-    /// An endpoint takes no new work.
+    ChangeZone { zone: ZoneName, change: ZoneChange, reply: ReplySender },
+    /// A heartbeat from an endpoint.
+    Heartbeat { heartbeat: EndpointBeat, reply: ReplySender },
+    /// An endpoint is leaving and takes no new work.
     Leave { id: IncarnationId, reply: ReplySender },
-    /// A probe has ended; `asker` is the leader that wanted it, where that is another host.
+    /// A probe has ended; `asker` is the leader that requested it, if another host leads.
     Probed { answer: ProbeAnswer, asker: Option<NodeName> },
-    /// An order was answered, or not.
+    /// An order was answered or timed out.
     Ordered { call: OrderCall, outcome: OrderOutcome },
-    /// End the thread.
+    /// Stop the thread.
     Stop,
 }
 
 impl CoreInput {
-    /// Whether it is one of the many that endpoints cause.
-    fn is_of_endpoint(&self) -> bool {
+    /// Whether the input results from the activity of endpoints, which is frequent.
+    fn is_from_endpoint(&self) -> bool {
         match self {
-            Self::Beat { .. } | Self::Probed { .. } | Self::Ordered { .. } => true,
+            Self::Heartbeat { .. } | Self::Probed { .. } | Self::Ordered { .. } => true,
             Self::Core(message) => matches!(message, CoreMessage::Beats(_) | CoreMessage::Told(_)),
             _ => false,
         }
     }
 }
 
-/// Feeds the control thread.
+/// The sending end of the control thread's input queues.
 ///
-/// Endpoints are many, and what they cause grows with the fleet. In one queue with everything else a
-/// leader that was behind by two seconds answered operators, votes and leases two seconds late: its entries
-/// refused callers, and another leader was elected, which had the same to do. So they have a queue of
-/// their own, which is read when the other one is empty, and which drops what finds no room.
+/// Inputs from endpoints grow with the fleet. With a single queue, a leader that fell two seconds
+/// behind answered operators, votes and leases two seconds late: its entries refused callers, and
+/// the next elected leader had the same backlog. Endpoint inputs therefore have a separate queue,
+/// which is read when the urgent one is empty. [`Self::try_send`] drops inputs that find no room.
 #[derive(Debug, Clone)]
 pub(super) struct InputSender {
     urgent: Sender<CoreInput>,
     endpoints: Sender<CoreInput>,
 }
 
-/// What the control thread reads.
+/// The receiving end of the control thread's input queues.
 #[derive(Debug)]
 pub(super) struct InputReceiver {
     urgent: Receiver<CoreInput>,
     endpoints: Receiver<CoreInput>,
 }
 
-/// The two ends of the control thread's inputs.
+/// Creates the input queues of the control thread.
 pub(super) fn input_queue() -> (InputSender, InputReceiver) {
-    let (urgent, urgent_queue) = bounded(INPUT_QUEUE);
-    let (endpoints, endpoint_queue) = bounded(INPUT_QUEUE);
+    let (urgent, urgent_queue) = bounded(MAX_QUEUED_INPUTS);
+    let (endpoints, endpoint_queue) = bounded(MAX_QUEUED_INPUTS);
     let receiver = InputReceiver { urgent: urgent_queue, endpoints: endpoint_queue };
     (InputSender { urgent, endpoints }, receiver)
 }
 
 impl InputSender {
-    /// Hands `input` over and waits for room; `false` when the control thread is gone.
+    /// Sends `input`, waiting until there is room. Returns `false` if the control thread has ended.
     pub(super) fn send(&self, input: CoreInput) -> bool {
         self.queue_of(&input).send(input).is_ok()
     }
 
-    /// Hands `input` over where there is room; tells whether it was taken.
+    /// Sends `input` if there is room. Returns whether it was queued.
     pub(super) fn try_send(&self, input: CoreInput) -> bool {
         self.queue_of(&input).try_send(input).is_ok()
     }
 
     fn queue_of(&self, input: &CoreInput) -> &Sender<CoreInput> {
-        if input.is_of_endpoint() { &self.endpoints } else { &self.urgent }
+        if input.is_from_endpoint() { &self.endpoints } else { &self.urgent }
     }
 }
 
 impl InputReceiver {
-    /// The next input, an urgent one where there is one; waits until `deadline`.
+    /// Waits until `deadline` for the next input; urgent inputs come first.
     pub(super) fn recv_deadline(&self, deadline: Instant) -> Result<CoreInput, RecvTimeoutError> {
         if let Ok(input) = self.urgent.try_recv() {
             return Ok(input);
@@ -193,13 +194,13 @@
         }
     }
 
-    /// Urgent inputs that wait, as many as are taken between two steps.
+    /// Queued urgent inputs, up to the maximum per step.
     pub(super) fn urgent(&self) -> impl Iterator<Item = CoreInput> + '_ {
-        self.urgent.try_iter().take(URGENT_INPUTS)
+        self.urgent.try_iter().take(MAX_URGENT_INPUTS)
     }
 
-    /// What waits, urgent inputs first, as much as is taken between two steps.
+    /// Queued inputs, urgent ones first, up to the maximum per step.
     pub(super) fn waiting(&self) -> impl Iterator<Item = CoreInput> + '_ {
-        self.urgent().chain(self.endpoints.try_iter().take(ENDPOINT_INPUTS))
+        self.urgent().chain(self.endpoints.try_iter().take(MAX_ENDPOINT_INPUTS))
     }
 }
--- a/crates/gateway/src/control/leader.rs
+++ b/crates/gateway/src/control/leader.rs
@@ -1,40 +1,40 @@
-//! What a leader does: directs the endpoints and follows up on what was learnt.
+//! Tasks of the leader: directing endpoints and reacting to new information.
 
 use briartray_fleet::director::FleetDirector;
 use briartray_model::TimePoint;
 
-use super::calls::EndpointCall;
 use super::core::ControlCore;
-use super::leadership::{Leadership, STEP_PAUSE};
+use super::endpoint_client::EndpointCall;
+use super::leadership::{Leadership, STEP_PAUSE_FACTOR};
 use super::origin::CommandOrigin;
 
 impl ControlCore {
-    /// Starts to act as leader: everything that was committed before is applied here now.
+    /// Begins to act as leader, once all entries committed before the term are applied.
     pub(super) fn establish(&mut self) {
         let now = self.now();
         let Some(leadership) = &mut self.leadership else { return };
         leadership.established = true;
         leadership.director = FleetDirector::new(now, &self.state);
         log::info!(term = leadership.term.0, endpoints = self.state.endpoints().len();
-            "leading");
+            "established as leader");
     }
 
-    /// Looks at what is due.
+    /// Runs the periodic tasks.
     pub(super) fn tick(&mut self, now: TimePoint) {
-        self.greet(now);
-        self.measure();
+        self.send_hellos(now);
+        self.update_metrics();
         self.manage_voters(now);
-        self.keep_quarantine(now);
-        self.direct(now);
-        // Silence grows without an event, and what entries said a while ago counts no more.
+        self.expire_quarantine(now);
+        self.step_director(now);
+        // Silence grows without any event, and reports from entries expire.
         if let Some(leadership) = &mut self.leadership {
-            leadership.dirty = true;
+            leadership.view_dirty = true;
         }
-        self.inform(now);
+        self.update_entries(now);
     }
 
-    /// Brings the metrics up to date.
-    fn measure(&self) {
+    /// Updates the metrics.
+    fn update_metrics(&self) {
         let metrics = &self.parts.metrics;
         let number = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
         metrics.leads.set(i64::from(self.is_established()));
@@ -48,21 +48,21 @@
         }
     }
 
-    /// Does what follows from what was just learnt, without waiting for the next tick: a group that
-    /// opens or ends a tenth of a second earlier is a tenth of a second of service.
+    /// Reacts to new information without waiting for the next tick: opening or ending a group 0.1 s
+    /// earlier gains 0.1 s of service.
     pub(super) fn follow_up(&mut self, now: TimePoint) {
         let Some(leadership) = &self.leadership else { return };
         if leadership.follow_up_at().is_some_and(|from| now >= from) {
-            self.direct(now);
+            self.step_director(now);
         }
-        let due = |lead: &Leadership| lead.dirty && now >= lead.inform_from;
+        let due = |lead: &Leadership| lead.view_dirty && now >= lead.next_update_at;
         if self.leadership.as_ref().is_some_and(due) {
-            self.inform(now);
+            self.update_entries(now);
         }
     }
 
-    /// Steps the director and carries out what follows.
-    pub(super) fn direct(&mut self, now: TimePoint) {
+    /// Steps the director, sends its probes and orders, and proposes its commands.
+    pub(super) fn step_director(&mut self, now: TimePoint) {
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.established) else {
             return;
         };
@@ -72,8 +72,8 @@
         let term = leadership.term.0;
         let output = leadership.director.step(now, &self.state, plan);
         let ended = self.clock.now();
-        leadership.step_from = ended.after(ended.since(began) * STEP_PAUSE);
-        self.ask_reports(now, output.probes);
+        leadership.next_step_at = ended.after(ended.since(began) * STEP_PAUSE_FACTOR);
+        self.send_probes(now, output.probes);
         for call in output.orders {
             let _ = self.parts.calls.send(EndpointCall::Order { call, term });
         }
--- a/crates/gateway/src/control/leadership.rs
+++ b/crates/gateway/src/control/leadership.rs
@@ -1,4 +1,4 @@
-//! What a control host keeps while it leads.
+//! State that a control host keeps while it leads.
 
 use briartray_fleet::director::FleetDirector;
 use briartray_fleet::limit::LimitBoard;
@@ -8,68 +8,68 @@
 use briartray_quarantine::QuarantineTracker;
 
 use super::entry_session::EntrySession;
-use super::pace::SendPace;
+use super::send_pacer::SendPacer;
 
-/// Pause after a step of the director that an event asked for, and after a new view, in times of what it
-/// took: one part in four of the thread's time goes to each. Both grow with the fleet, and so does the
-/// number of events, while heartbeats and leases have to be answered all the same.
-pub(super) const STEP_PAUSE: u32 = 3;
+/// Pause after an event-driven director step and after a new view, as a multiple of its duration:
+/// each gets at most a quarter of the thread's time. Their duration and the number of events grow
+/// with the fleet, but heartbeats and leases must still be served.
+pub(super) const STEP_PAUSE_FACTOR: u32 = 3;
 
-/// What a leader keeps while it leads.
+/// State that a control host keeps while it leads.
 pub(super) struct Leadership {
-    /// Term in which it leads.
+    /// Term in which the host leads.
     pub(super) term: TermNumber,
-    /// Whether everything committed before is applied here.
+    /// Whether all entries committed before the term are applied.
     pub(super) established: bool,
-    /// What it knows of the endpoints and does about them.
+    /// Decides on orders to endpoints and the groups they form.
     pub(super) director: FleetDirector,
-    /// Something may have changed in the view.
-    pub(super) dirty: bool,
-    /// The director has something to follow up.
+    /// Whether the view may have changed since the last update.
+    pub(super) view_dirty: bool,
+    /// Whether new information calls for a director step.
     pub(super) step_due: bool,
-    /// Entries that report to it.
+    /// Entries that report to this leader.
     pub(super) entries: SortedTable<NodeName, EntrySession>,
-    /// The newest views, for updates of those that entries hold.
+    /// The newest views, as bases for incremental updates.
     pub(super) views: ViewHistory,
     /// Requests that crash endpoints.
     pub(super) quarantine: QuarantineTracker,
-    /// What endpoints with a limit get.
+    /// Distribution of rate-limited endpoints over the entries.
     pub(super) limits: LimitBoard,
-    /// How fast declarations are handed out.
-    pub(super) pace: SendPace,
+    /// Rate limit for sending deployment plans.
+    pub(super) pacer: SendPacer,
     /// Number of the newest view.
-    pub(super) number: u64,
-    /// When entries may be told of the next view.
-    pub(super) inform_from: TimePoint,
-    /// When the next line about the view may be written.
-    pub(super) view_line_at: TimePoint,
-    /// When the director may be stepped for what was just learnt.
-    pub(super) step_from: TimePoint,
+    pub(super) view_number: u64,
+    /// Earliest time of the next update to entries.
+    pub(super) next_update_at: TimePoint,
+    /// Earliest time of the next log line about the view.
+    pub(super) next_view_log_at: TimePoint,
+    /// Earliest time of the next event-driven director step.
+    pub(super) next_step_at: TimePoint,
 }
 
 impl Leadership {
-    /// A leadership that begins at `now`.
+    /// Starts a leadership at `now`.
     pub(super) fn new(now: TimePoint, term: TermNumber) -> Self {
         Self {
             term,
             established: false,
             director: FleetDirector::default(),
-            dirty: true,
+            view_dirty: true,
             step_due: false,
             entries: SortedTable::new(),
             views: ViewHistory::default(),
             quarantine: QuarantineTracker::default(),
             limits: LimitBoard::new(now),
-            pace: SendPace::default(),
-            number: 0,
-            inform_from: now,
-            view_line_at: now,
-            step_from: now,
+            pacer: SendPacer::default(),
+            view_number: 0,
+            next_update_at: now,
+            next_view_log_at: now,
+            next_step_at: now,
         }
     }
 
-    /// When the director is to be stepped for what was just learnt; `None` when nothing was.
+    /// When the next event-driven director step is due; `None` if there is no new information.
     pub(super) fn follow_up_at(&self) -> Option<TimePoint> {
-        (self.established && self.step_due).then_some(self.step_from)
+        (self.established && self.step_due).then_some(self.next_step_at)
     }
 }
--- a/crates/gateway/src/control/metrics.rs
+++ b/crates/gateway/src/control/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control host counts.
+//! Metrics of a control host.
 
 use briartray_node::metrics::{AgreementMetrics, OutcomeLabel};
 use prometheus_client::metrics::counter::Counter;
@@ -6,42 +6,42 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Counters and states of one control host.
+/// Metrics of one control host.
 #[derive(Debug, Clone)]
 pub(super) struct ControlMetrics {
-    /// Where the replicated log stands.
+    /// State of the replicated log.
     pub(super) agreement: AgreementMetrics,
-    /// One while this host leads.
+    /// 1 while this host leads, otherwise 0.
     pub(super) leads: Gauge,
-    /// Hosts that may vote.
+    /// Number of voters.
     pub(super) voters: Gauge,
-    /// Version of the declaration in force.
+    /// Version of the deployment plan in force.
     pub(super) plan: Gauge,
-    /// Groups that are agreed on, spares that stand by counted in.
+    /// Committed groups, including standby spares.
     pub(super) groups: Gauge,
-    /// Endpoints that are agreed on.
+    /// Committed endpoints.
     pub(super) endpoints: Gauge,
-    /// Endpoints that name a limit.
+    /// Endpoints with a rate limit.
     pub(super) limited: Gauge,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub(super) evacuated: Gauge,
-    /// Requests in quarantine.
+    /// Quarantined requests.
     pub(super) quarantined: Gauge,
-    /// Requests that may have to be quarantined.
+    /// Suspected requests, which may have to be quarantined.
     pub(super) suspects: Gauge,
     orders: Family<OutcomeLabel, Counter>,
-    /// Probes without an answer.
+    /// Probes without a response.
     pub(super) silent_probes: Counter,
-    /// Probes whose answer this host had no time to read.
+    /// Probes whose response this host had no time to read.
     pub(super) unread_probes: Counter,
-    /// Beats that this host passed on to the leader.
-    pub(super) relayed_beats: Counter,
-    /// Answers to probes that this host passed on to the leader.
+    /// Heartbeats relayed to the leader.
+    pub(super) relayed_heartbeats: Counter,
+    /// Probe results relayed to the leader.
     pub(super) relayed_answers: Counter,
 }
 
 impl ControlMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub(super) fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             agreement: AgreementMetrics::register(registry),
@@ -57,7 +57,7 @@
             orders: Family::default(),
             silent_probes: Counter::default(),
             unread_probes: Counter::default(),
-            relayed_beats: Counter::default(),
+            relayed_heartbeats: Counter::default(),
             relayed_answers: Counter::default(),
         };
         let control = registry.sub_registry_with_prefix("control");
@@ -79,14 +79,14 @@
         let help = "Probes whose answer this host had no time to read";
         control.register("unread_probes", help, metrics.unread_probes.clone());
         let help = "Beats passed on to the leader";
-        control.register("relayed_beats", help, metrics.relayed_beats.clone());
+        control.register("relayed_beats", help, metrics.relayed_heartbeats.clone());
         let help = "Answers to probes passed on to the leader";
         control.register("relayed_answers", help, metrics.relayed_answers.clone());
         metrics
     }
 
-    /// Counts one order that was answered as `outcome`.
-    pub(super) fn ordered(&self, outcome: &'static str) {
+    /// Counts an order that ended with `outcome`.
+    pub(super) fn count_order(&self, outcome: &'static str) {
         self.orders.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 }
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,29 +1,29 @@
-//! The control role: one thread owns the state; a second one carries HTTP, further ones carry the
-//! conversations with entries and other control hosts.
+//! The control role. One thread owns the state, another one serves HTTP, and further threads carry
+//! the streams to entries and other control hosts.
 
 mod api;
-mod calls;
 mod core;
 mod disk;
+mod endpoint_client;
 mod endpoints;
 mod entry_session;
+mod entry_updates;
 mod evacuation;
 mod evacuation_call;
 mod folder;
 mod host_book;
-mod inform;
 mod input;
 mod leader;
 mod leadership;
 mod metrics;
 mod origin;
-mod pace;
 mod peers;
 mod quarantine;
 mod quarantine_call;
 mod relay;
 mod relay_buffer;
 mod replication;
+mod send_pacer;
 mod streams;
 mod voters;
 
@@ -41,7 +41,7 @@
 use crate::process::{ProcessError, RoleFailure, SetupSnafu};
 use crate::settings::{ControlRole, GatewaySettings};
 
-/// Stack of the control thread, in bytes.
+/// Stack size of the control thread, in bytes.
 const CONTROL_STACK_BYTES: usize = 8 * WORKER_STACK_BYTES;
 
 /// A running control role.
@@ -53,10 +53,10 @@
 }
 
 impl ControlProcess {
-    /// Starts the threads of the role; `files` reach its data folder.
+    /// Starts the threads of the role; `files` provides access to the files of its data folder.
     ///
     /// # Errors
-    /// A `ProcessError` when a port or a thread cannot be had.
+    /// A [`ProcessError`] if a port, a link or a thread cannot be set up.
     pub fn start(
         settings: &GatewaySettings,
         role: &ControlRole,
@@ -93,12 +93,12 @@
         Ok(Self { link, inputs, failures })
     }
 
-    /// Tells when the role cannot go on.
+    /// Channel that receives a failure when the role cannot continue.
     pub fn failures(&self) -> &Receiver<RoleFailure> {
         &self.failures
     }
 
-    /// Stops the role.
+    /// Stops the role's threads.
     pub fn stop(&self) {
         self.inputs.send(CoreInput::Stop);
         self.link.stop();
--- a/crates/gateway/src/control/origin.rs
+++ b/crates/gateway/src/control/origin.rs
@@ -1,4 +1,5 @@
-//! Who waits for what the agreement decides, and why the control thread may have to begin again.
+//! Who waits for the outcome of a consensus operation, and why the control thread may have to
+//! restart.
 
 use briartray_fleet::message::EntryReport;
 use briartray_link::LinkWriter;
@@ -6,35 +7,35 @@
 
 use super::input::ReplySender;
 
-/// Why a control thread cannot go on as it is.
+/// Reason why the control thread cannot continue with its current state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CoreFailure {
-    /// A write or sync failed, and what the disk holds is not known.
+    /// A write or sync failed, so the contents of the disk are unknown.
     Disk,
-    /// What was agreed on does not read.
+    /// A command or snapshot of the replicated log cannot be decoded.
     State,
 }
 
-/// Who waits for a command.
+/// Who waits for the outcome of a command.
 pub(super) enum CommandOrigin {
     /// An operator or endpoint.
     Caller(ReplySender),
     /// The director.
     Director,
-    /// The leader, about a request in quarantine.
+    /// The leader's quarantine tracker, about the request with this fingerprint.
     Quarantine(RequestPrint),
 }
 
 /// Who waits for a confirmation that this host leads.
 pub(super) enum ReadOrigin {
-    /// An operator who asks for the declaration in force.
+    /// An operator that requests the deployment plan in force.
     Plan(ReplySender),
-    /// An operator whose declaration is in force or overtaken.
-    Overtaken(ReplySender),
-    /// An operator who asks for the requests in quarantine.
+    /// An operator whose deployment plan is in force or superseded.
+    Superseded(ReplySender),
+    /// An operator that requests the quarantined requests.
     Quarantine(ReplySender),
-    /// An operator who asks for the evacuated zones.
+    /// An operator that requests the evacuated zones.
     Evacuated(ReplySender),
-    /// An entry that asks for news and a lease.
+    /// An entry that requests updates and a lease renewal.
     Entry(Box<EntryReport>, LinkWriter),
 }
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Links to the other control hosts, one stream and one thread for each; hosts become known while
+//! Links to the other control hosts, with one stream and one thread per host. Hosts are added while
 //! the process runs.
 
 use std::time::Duration;
@@ -13,14 +13,15 @@
 use crate::process::ProcessError;
 use crate::settings::GatewaySettings;
 
-/// Messages that may wait for one host; the agreement makes up for those that find no room.
-const PEER_QUEUE: usize = 64;
+/// Maximum number of queued messages per host; the consensus protocol resends what is dropped.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// Time to connect to another control host, a few ways between far regions. One that is being started
-/// does not answer at all, and a longer wait for it would swallow the first votes after a power loss.
+/// Connect timeout for other control hosts: a few round trips between distant regions. A host that
+/// is starting does not respond at all, and a longer timeout would delay the first votes after a
+/// power loss.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Queues to the other control hosts.
+/// Message queues to the other control hosts.
 #[derive(Debug)]
 pub(super) struct PeerLinks {
     client: LinkClient,
@@ -29,10 +30,10 @@
 }
 
 impl PeerLinks {
-    /// Links to nobody yet.
+    /// Starts the link client, without any connections yet.
     ///
     /// # Errors
-    /// A `ProcessError` when a thread cannot be had.
+    /// A [`ProcessError`] if a thread cannot be started.
     pub(super) fn start(settings: &GatewaySettings) -> Result<Self, ProcessError> {
         let link =
             ClientSettings { token: settings.link_token.clone(), connect_timeout: CONNECT_TIMEOUT };
@@ -40,7 +41,7 @@
         Ok(Self { client, settings: settings.clone(), queues: SortedTable::new() })
     }
 
-    /// Sends `message` unless the host is too far behind.
+    /// Queues `message` for the host; drops it if the queue is full or cannot be created.
     pub(super) fn send(&mut self, to: &NodeName, message: CoreMessage) {
         if !self.queues.contains_key(to) && !self.connect(to) {
             return;
@@ -50,20 +51,22 @@
         }
     }
 
-    /// Ends the links to hosts that `keep` does not name.
+    /// Closes the links to hosts for which `keep` returns `false`.
     pub(super) fn retain(&mut self, keep: impl Fn(&NodeName) -> bool) {
         self.queues.retain(|node, _| keep(node));
     }
 
     fn connect(&mut self, to: &NodeName) -> bool {
         let Some(address) = self.settings.link_address(to) else { return false };
-        let (sender, queue) = bounded(PEER_QUEUE);
+        let (sender, queue) = bounded(MAX_QUEUED_MESSAGES);
         let client = self.client.clone();
         let started = spawn_worker("peer", WORKER_STACK_BYTES, move || {
             carry_messages(&client, address, CallKind::Core, &queue)
         });
         if let Err(error) = started {
-            log::error!("no thread for the link to {to}: {error}; raise the thread limit");
+            log::error!(
+                "cannot start a thread for the link to {to}: {error}; raise the thread limit"
+            );
             return false;
         }
         self.queues.insert(to.clone(), sender);
--- a/crates/gateway/src/control/quarantine_call.rs
+++ b/crates/gateway/src/control/quarantine_call.rs
@@ -1,4 +1,4 @@
-//! How operators see the quarantine and let requests out of it.
+//! Operator calls to list quarantined requests and to lift their quarantine.
 
 use briartray_http::AnswerBody;
 use briartray_model::names::RequestPrint;
@@ -11,10 +11,10 @@
 use super::api::json_answer;
 use super::input::{CoreInput, ReplySender};
 
-/// Where the requests in quarantine are listed.
+/// Path that lists the quarantined requests.
 const LIST_PATH: &str = "/v1/quarantine";
 
-/// Where a request is let out.
+/// Path that lifts the quarantine of a request.
 const LIFT_PATH: &str = "/v1/quarantine/lift";
 
 #[derive(Deserialize)]
@@ -23,20 +23,20 @@
     print: String,
 }
 
-/// A call of an operator about the quarantine.
+/// An operator call about the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QuarantineCall {
-    /// List the requests.
+    /// List the quarantined requests.
     List,
-    /// Let a request out.
+    /// Lift the quarantine of the request with this fingerprint.
     Lift(RequestPrint),
 }
 
 impl QuarantineCall {
-    /// Reads a call; `None` when it is about something else.
+    /// Parses a call; `None` if the path belongs to another API.
     ///
     /// # Errors
-    /// What is wrong with the body.
+    /// A message that describes what is wrong with the body.
     pub(super) fn read(head: &Parts, body: &[u8]) -> Option<Result<Self, String>> {
         match (&head.method, head.uri.path()) {
             (&Method::GET, LIST_PATH) => Some(Ok(Self::List)),
@@ -45,22 +45,22 @@
         }
     }
 
-    /// What the control thread is asked.
+    /// The input to the control thread for this call.
     pub(super) fn input(self, reply: ReplySender) -> CoreInput {
         match self {
-            Self::List => CoreInput::Quarantine { reply },
-            Self::Lift(print) => CoreInput::Lift { print, reply },
+            Self::List => CoreInput::ListQuarantine { reply },
+            Self::Lift(fingerprint) => CoreInput::LiftQuarantine { fingerprint, reply },
         }
     }
 }
 
 fn read_lift(body: &[u8]) -> Result<QuarantineCall, String> {
     let call: LiftCall = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    let print = RequestPrint::parse(&call.print).map(QuarantineCall::Lift);
-    print.ok_or_else(|| "send a print as the list of the quarantine shows it".to_owned())
+    let lift = RequestPrint::parse(&call.print).map(QuarantineCall::Lift);
+    lift.ok_or_else(|| "send a print as the list of the quarantine shows it".to_owned())
 }
 
-/// The answer that lists `records`.
+/// The response that lists `records`.
 pub(super) fn quarantine_answer(records: &[QuarantineRecord]) -> Response<AnswerBody> {
     let records: Vec<_> = records.iter().map(QuarantineRecord::shown).collect();
     json_answer(json!(records).to_string())
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -1,11 +1,14 @@
-//! Beats and reports that control hosts pass on for the leader.
+//! Relaying of heartbeats and probe results between control hosts and the leader.
 //!
-//! A connection to each endpoint, a beat a second of it and a report a second of each member of a group
-//! are more than one host can bear before thousands of endpoints: a leader that had no time to read beats
-//! took endpoints for lost, asked more of them, and did not come back by itself. So each control host takes
-//! the beats of the endpoints that found it, and asks some of them for reports when the leader wants that.
-//! It passes on what it hears in batches and decides nothing: one that is lost, cut off or frozen costs some
-//! beats, whose endpoints the leader asks itself or through another one, and no order ever comes from it.
+//! A single host cannot handle a connection, a heartbeat per second and, for group members, a
+//! report per second for each of thousands of endpoints. A leader that had no time to read
+//! heartbeats counted endpoints as lost, probed more of them, and did not recover. Therefore each
+//! control host receives the heartbeats of the endpoints that connect to it, and probes some
+//! endpoints on behalf of the leader.
+//!
+//! A relay forwards what it receives in batches and makes no decisions. If it is lost, cut off or
+//! frozen, some heartbeats are lost; the leader then probes these endpoints itself or through
+//! another host. Relays never send orders.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -14,49 +17,55 @@
 use briartray_model::names::{IncarnationId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
 
-use super::calls::EndpointCall;
 use super::core::ControlCore;
+use super::endpoint_client::EndpointCall;
 use super::input::{ControlReply, CoreMessage, ReplySender};
 use super::relay_buffer::RelayBuffer;
 
-/// Beats or answers in one message.
-const BATCH: usize = 64;
+/// Maximum number of heartbeats or probe results in one message.
+const BATCH_SIZE: usize = 64;
 
-/// Endpoints up to which the leader asks for all reports by itself: one way less, and less to go wrong.
-const ASKED_ALONE: usize = 128;
+/// Number of endpoints up to which the leader sends all probes itself, which saves a network hop
+/// and a point of failure.
+const MAX_ENDPOINTS_PROBED_ALONE: usize = 128;
 
-/// Time without a greeting after which a control host is asked for no reports: greetings come every 0.4 s.
-const RELAY_SILENT: Duration = Duration::from_millis(1_000);
+/// Time without a hello after which a control host is given no probes; hellos are sent every 0.4 s.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl ControlCore {
-    /// Takes a beat for the leader. An endpoint that leaves is sent on: its notice counts only when a
-    /// majority holds it.
-    pub(super) fn relay_beat(&mut self, now: TimePoint, beat: EndpointBeat, reply: ReplySender) {
-        if beat.leaving || self.leader().is_none() {
+    /// Accepts a heartbeat on behalf of the leader. A leaving endpoint is redirected instead, since
+    /// its notice counts only after a majority stored it.
+    pub(super) fn relay_heartbeat(
+        &mut self,
+        now: TimePoint,
+        heartbeat: EndpointBeat,
+        reply: ReplySender,
+    ) {
+        if heartbeat.leaving || self.leader().is_none() {
             return self.redirect(reply);
         }
-        self.relay.hold_beat(now, beat);
+        self.relay_buffer.buffer_heartbeat(now, heartbeat);
         let _ = reply.send(ControlReply::Done);
     }
 
-    /// Asks endpoints for reports that `asker`, who leads, wants.
-    pub(super) fn ask_for(&mut self, asker: &NodeName, probes: Vec<ProbeCall>) {
+    /// Probes endpoints on behalf of the leader `asker`.
+    pub(super) fn probe_for(&mut self, asker: &NodeName, probes: Vec<ProbeCall>) {
         for call in probes {
             let asker = Some(asker.clone());
             let _ = self.parts.calls.send(EndpointCall::Probe { call, asker });
         }
     }
 
-    /// Asks for reports that the director wants: by this host, or a part by each control host that is
-    /// there. Urgent ones are asked for here.
-    pub(super) fn ask_reports(&mut self, now: TimePoint, probes: Vec<ProbeCall>) {
-        let relays = match self.state.endpoints().len() > ASKED_ALONE {
-            true => self.hosts.live(now, RELAY_SILENT),
+    /// Sends the director's probes. In large deployments they are split between this host and the
+    /// other live control hosts; urgent probes are always sent from here.
+    pub(super) fn send_probes(&mut self, now: TimePoint, probes: Vec<ProbeCall>) {
+        let relays = match self.state.endpoints().len() > MAX_ENDPOINTS_PROBED_ALONE {
+            true => self.host_book.live_hosts(now, RELAY_TIMEOUT),
             false => Vec::new(),
         };
         let mut shared: SortedTable<NodeName, Vec<ProbeCall>> = SortedTable::new();
         for call in probes {
-            match asker_of(&call.id, &relays).filter(|_| !call.urgent) {
+            match probing_host(&call.id, &relays).filter(|_| !call.urgent) {
                 Some(relay) => shared.get_or_insert_with(relay.clone(), Vec::new).push(call),
                 None => {
                     let _ = self.parts.calls.send(EndpointCall::Probe { call, asker: None });
@@ -70,30 +79,31 @@
         }
     }
 
-    /// Passes on what was gathered.
+    /// Sends the buffered heartbeats and probe results if they are due.
     pub(super) fn flush_relay(&mut self, now: TimePoint) {
-        if self.relay.flush_at.is_none_or(|at| now < at) {
+        if self.relay_buffer.flush_at.is_none_or(|at| now < at) {
             return;
         }
-        let RelayBuffer { beats, answers, .. } = std::mem::take(&mut self.relay);
+        let RelayBuffer { heartbeats, answers, .. } = std::mem::take(&mut self.relay_buffer);
         if let Some(leader) = self.leader() {
-            self.parts.metrics.relayed_beats.inc_by(beats.len() as u64);
-            for batch in beats.chunks(BATCH) {
+            self.parts.metrics.relayed_heartbeats.inc_by(heartbeats.len() as u64);
+            for batch in heartbeats.chunks(BATCH_SIZE) {
                 self.parts.peers.send(&leader, CoreMessage::Beats(batch.to_vec()));
             }
         }
         for (asker, answers) in answers.iter() {
             self.parts.metrics.relayed_answers.inc_by(answers.len() as u64);
-            for batch in answers.chunks(BATCH) {
+            for batch in answers.chunks(BATCH_SIZE) {
                 self.parts.peers.send(asker, CoreMessage::Told(batch.to_vec()));
             }
         }
     }
 }
 
-/// The host of `relays` that asks `id` for reports, always the same one while they are the same: each keeps
-/// a connection to the endpoints that it asks. `None` stands for the leader, which takes its part.
-fn asker_of<'r>(id: &IncarnationId, relays: &'r [NodeName]) -> Option<&'r NodeName> {
+/// The host among `relays` that probes `id`, or `None` for the leader itself. The choice is stable
+/// while the relays are the same, so that each host can reuse its connections to the endpoints it
+/// probes.
+fn probing_host<'r>(id: &IncarnationId, relays: &'r [NodeName]) -> Option<&'r NodeName> {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     let parts = relays.len() as u64 + 1;
--- a/crates/gateway/src/control/relay_buffer.rs
+++ b/crates/gateway/src/control/relay_buffer.rs
@@ -1,4 +1,4 @@
-//! What a control host gathers for others before it passes it on.
+//! Buffer for messages that a control host relays to other control hosts.
 
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 
 use super::input::ProbeAnswer;
 
-/// Time for which messages are gathered before they are passed on.
-const GATHER: Duration = Duration::from_millis(10);
+/// Time for which messages are buffered before they are sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(10);
 
-/// What is gathered for other control hosts.
+/// Messages to be relayed to other control hosts.
 #[derive(Debug, Default)]
 pub(super) struct RelayBuffer {
-    /// Beats for the leader.
-    pub(super) beats: Vec<EndpointBeat>,
-    /// Answers to probes, by the host that wanted them.
+    /// Heartbeats for the leader.
+    pub(super) heartbeats: Vec<EndpointBeat>,
+    /// Probe results, by the host that requested them.
     pub(super) answers: SortedTable<NodeName, Vec<ProbeAnswer>>,
-    /// When they are passed on.
+    /// When the buffer is to be sent; `None` if it is empty.
     pub(super) flush_at: Option<TimePoint>,
 }
 
 impl RelayBuffer {
-    /// When something is to be passed on.
+    /// When the buffer is to be sent; `None` if it is empty.
     pub(super) fn flush_at(&self) -> Option<TimePoint> {
         self.flush_at
     }
 
-    /// Keeps the answer to a probe that `asker` wanted.
-    pub(super) fn hold_answer(&mut self, now: TimePoint, asker: NodeName, answer: ProbeAnswer) {
+    /// Buffers the result of a probe that `asker` requested.
+    pub(super) fn buffer_answer(&mut self, now: TimePoint, asker: NodeName, answer: ProbeAnswer) {
         self.answers.get_or_insert_with(asker, Vec::new).push(answer);
-        self.flush_at.get_or_insert(now.after(GATHER));
+        self.flush_at.get_or_insert(now.after(FLUSH_DELAY));
     }
 
-    /// Keeps a beat for the leader.
-    pub(super) fn hold_beat(&mut self, now: TimePoint, beat: EndpointBeat) {
-        self.beats.push(beat);
-        self.flush_at.get_or_insert(now.after(GATHER));
+    /// Buffers a heartbeat for the leader.
+    pub(super) fn buffer_heartbeat(&mut self, now: TimePoint, heartbeat: EndpointBeat) {
+        self.heartbeats.push(heartbeat);
+        self.flush_at.get_or_insert(now.after(FLUSH_DELAY));
     }
 }
--- a/crates/gateway/src/control/replication.rs
+++ b/crates/gateway/src/control/replication.rs
@@ -1,4 +1,5 @@
-//! What follows from the agreement: messages, writes, applied commands, changes of leadership.
+//! Processing the output of the consensus core: messages, writes, committed commands and leadership
+//! changes.
 
 use briartray_control::agreement::{
     CommittedEntry, EntryPayload, LogDelivery, LogSnapshot, MemberRole,
@@ -12,17 +13,17 @@
 use super::input::{ControlReply, CoreMessage};
 use super::leadership::Leadership;
 use super::origin::{CommandOrigin, CoreFailure, ReadOrigin};
-use crate::stored::read_stored;
+use crate::stored_plan::read_stored_plan;
 
 impl ControlCore {
-    /// Carries out everything that follows from the steps so far; `true` when something was
-    /// applied, from which more may follow.
+    /// Processes the output of the consensus core. Returns `true` if something was applied, which
+    /// may produce further output.
     pub(super) fn advance(&mut self) -> bool {
         let now = self.now();
         let Some(agreement) = &mut self.agreement else { return false };
         let output = agreement.drain(now);
         if let (Some(batch), Some(disk)) = (output.batch, &self.disk) {
-            // A closed channel means that the disk has failed, of which the thread is told.
+            // Sending fails only after a disk failure, which is reported separately.
             let _ = disk.send(batch);
         }
         for (to, message) in output.messages {
@@ -30,10 +31,10 @@
         }
         for token in output.lost {
             if let Some(origin) = self.proposals.remove(&token) {
-                self.lose(origin);
+                self.handle_lost_command(origin);
             }
         }
-        self.note_role();
+        self.update_leadership();
         let applied = !output.deliveries.is_empty();
         for delivery in output.deliveries {
             match delivery {
@@ -46,7 +47,7 @@
         }
         for token in output.unconfirmed {
             if let Some(origin) = self.reads.remove(&token) {
-                self.unconfirmed(origin);
+                self.handle_unconfirmed_read(origin);
             }
         }
         for token in output.confirmed {
@@ -58,8 +59,8 @@
         applied
     }
 
-    /// Begins or ends leadership as the agreement says.
-    fn note_role(&mut self) {
+    /// Starts or ends leadership according to the consensus role.
+    fn update_leadership(&mut self) {
         let Some(agreement) = &self.agreement else { return };
         let term = agreement.term();
         let leads = agreement.role() == MemberRole::Leader;
@@ -85,19 +86,19 @@
         let command: FleetCommand = match codec::decode(bytes) {
             Ok(command) => command,
             Err(error) => {
-                log::error!("a committed command does not read: {error}");
+                log::error!("cannot decode committed command; ending the control role: {error}");
                 self.failed = Some(CoreFailure::State);
                 return;
             }
         };
         let outcome = self.state.apply(&command);
-        log::info!("applied {}: {outcome:?}", summary(&command));
+        log::info!("applied command: {}: {outcome:?}", command_summary(&command));
         if outcome == FleetOutcome::PlanInForce {
             self.adopt_plan();
         }
         let now = self.now();
         if let Some(leadership) = &mut self.leadership {
-            leadership.dirty = true;
+            leadership.view_dirty = true;
             leadership.step_due = true;
             match &command {
                 FleetCommand::Quarantine(record) => leadership.quarantine.added(record.print),
@@ -120,10 +121,12 @@
     }
 
     fn adopt_plan(&mut self) {
-        let Some(stored) = self.state.plan() else { return };
-        match read_stored(stored) {
+        let Some(stored_plan) = self.state.plan() else { return };
+        match read_stored_plan(stored_plan) {
             Ok(plan) => self.plan = Some(plan),
-            Err(error) => log::error!("an accepted declaration does not read: {error}"),
+            Err(error) => log::error!(
+                "cannot decode accepted deployment plan; keeping the previous one: {error}"
+            ),
         }
     }
 
@@ -131,7 +134,7 @@
         match decode_state(&snapshot.data) {
             Ok(state) => self.state = state,
             Err(error) => {
-                log::error!("{error}");
+                log::error!("cannot decode snapshot; ending the control role: {error}");
                 self.failed = Some(CoreFailure::State);
                 return;
             }
@@ -142,9 +145,9 @@
     fn answer_read(&mut self, origin: ReadOrigin) {
         match origin {
             ReadOrigin::Plan(reply) => {
-                let _ = reply.send(self.state.plan().map_or(ControlReply::NoPlan, told_plan));
+                let _ = reply.send(self.state.plan().map_or(ControlReply::NoPlan, plan_reply));
             }
-            ReadOrigin::Overtaken(reply) => {
+            ReadOrigin::Superseded(reply) => {
                 let _ = reply.send(ControlReply::Done);
             }
             ReadOrigin::Quarantine(reply) => {
@@ -166,52 +169,53 @@
         }
         match encode_state(&self.state) {
             Ok(data) => agreement.compact(data),
-            Err(error) => log::error!("no snapshot can be taken: {error}"),
+            Err(error) => log::error!("cannot encode snapshot; keeping the log entries: {error}"),
         }
     }
 }
 
-/// The text of `plan` for an operator.
-fn told_plan(plan: &StoredPlan) -> ControlReply {
+/// The text of `plan`, as a reply to an operator.
+fn plan_reply(plan: &StoredPlan) -> ControlReply {
     match plan.text() {
         Ok(text) => ControlReply::Plan(text),
         Err(error) => {
-            log::error!(version = plan.version; "{error}");
+            log::error!(version = plan.version; "cannot unpack deployment plan: {error}");
             ControlReply::Unavailable
         }
     }
 }
 
-/// A command without the text it carries.
-fn summary(command: &FleetCommand) -> String {
+/// Describes a command for the log, without the plan text.
+fn command_summary(command: &FleetCommand) -> String {
     match command {
-        FleetCommand::PutPlan(plan) => format!("declaration {}", plan.version),
+        FleetCommand::PutPlan(plan) => format!("deployment plan {}", plan.version),
         FleetCommand::FormGroup(group) => {
             let members: Vec<String> =
                 group.members.iter().map(|host| host.id.to_string()).collect();
-            format!("group of {} in {}: {}", group.model, group.domain, members.join(" "))
+            format!("form group of {} in {}: {}", group.model, group.domain, members.join(" "))
         }
-        FleetCommand::EndGroup(group) => format!("end of group {group}"),
-        FleetCommand::MarkLeaving(id) => format!("{id} is leaving"),
+        FleetCommand::EndGroup(group) => format!("dissolve group {group}"),
+        FleetCommand::MarkLeaving(id) => format!("mark {id} as leaving"),
         FleetCommand::Announce(records) => {
-            let place = |record: &EndpointRecord| format!("{} at {}", record.id, record.address);
-            records.iter().map(place).collect::<Vec<_>>().join(", ")
+            let registration =
+                |record: &EndpointRecord| format!("register {} at {}", record.id, record.address);
+            records.iter().map(registration).collect::<Vec<_>>().join(", ")
         }
         FleetCommand::Forget(ids) => {
             let names: Vec<String> = ids.iter().map(ToString::to_string).collect();
-            format!("{} gone", names.join(" "))
+            format!("remove {}", names.join(" "))
         }
         FleetCommand::Quarantine(record) => {
             let endpoints: Vec<String> = record.endpoints.iter().map(ToString::to_string).collect();
             let team = record.team.as_ref().map_or("", |team| team.as_str());
             let crashed = endpoints.join(" ");
             format!(
-                "quarantine of {} ({}, {team}), which crashed {crashed}",
+                "quarantine {} ({}, {team}), which crashed {crashed}",
                 record.print, record.rule
             )
         }
-        FleetCommand::LiftQuarantine(print) => format!("end of the quarantine of {print}"),
-        FleetCommand::EvacuateZone(zone) => format!("evacuation of {zone}"),
-        FleetCommand::ReadmitZone(zone) => format!("end of the evacuation of {zone}"),
+        FleetCommand::LiftQuarantine(print) => format!("lift quarantine of {print}"),
+        FleetCommand::EvacuateZone(zone) => format!("evacuate {zone}"),
+        FleetCommand::ReadmitZone(zone) => format!("readmit {zone}"),
     }
 }
--- a/crates/gateway/src/control/streams.rs
+++ b/crates/gateway/src/control/streams.rs
@@ -1,4 +1,4 @@
-//! Turning link streams into inputs of the control thread.
+//! Accepted link streams, and the forwarding of their messages to the control thread.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 
 use super::input::{CoreInput, CoreMessage, InputSender};
 
-/// How long a silent stream is waited on at a time.
-const READ_WAIT: Duration = Duration::from_secs(5);
+/// Timeout of a single read.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Silence after which a stream is closed: entries report four times a second, and control hosts
-/// greet each other twice a second.
-const MAX_SILENT_WAITS: u32 = 3;
+/// Number of consecutive read timeouts after which a stream is closed. Entries report four times a
+/// second, and control hosts send a hello twice a second.
+const MAX_SILENT_READS: u32 = 3;
 
-/// Serves one accepted stream on a thread of its own.
+/// Serves an accepted stream on its own thread.
 pub(super) fn accept(stream: LinkStream, inputs: &InputSender) {
     let inputs = inputs.clone();
     let run = move || match stream.kind {
@@ -24,34 +24,34 @@
             forward(&stream, &inputs, |message: CoreMessage, _| CoreInput::Core(message));
         }
         CallKind::Routing => {
-            let wrap = |report: EntryReport, writer| CoreInput::Entry { report, writer };
+            let wrap = |report: EntryReport, writer| CoreInput::Report { report, writer };
             forward(&stream, &inputs, wrap);
         }
-        kind => log::warn!("a {kind} call came to a control host and was closed"),
+        kind => log::warn!("control hosts accept no {kind} streams; closing the stream"),
     };
     if let Err(error) = spawn_worker("control-stream", WORKER_STACK_BYTES, run) {
-        log::error!("cannot serve a stream: {error}; raise the thread limit");
+        log::error!("cannot start a thread for a stream: {error}; raise the thread limit");
     }
 }
 
-/// Passes each message on until the stream ends or stays silent.
+/// Forwards messages to the control thread until the stream ends or has been silent for too long.
 fn forward<T: DeserializeOwned>(
     stream: &LinkStream,
     inputs: &InputSender,
     wrap: impl Fn(T, LinkWriter) -> CoreInput,
 ) {
-    let mut silent = 0;
-    while silent < MAX_SILENT_WAITS {
-        match stream.reader.receive(READ_WAIT) {
+    let mut silent_reads = 0;
+    while silent_reads < MAX_SILENT_READS {
+        match stream.reader.receive(READ_TIMEOUT) {
             Ok(message) => {
-                silent = 0;
+                silent_reads = 0;
                 if !inputs.send(wrap(message, stream.writer.clone())) {
                     return;
                 }
             }
-            Err(LinkError::TimedOut) => silent += 1,
+            Err(LinkError::TimedOut) => silent_reads += 1,
             Err(LinkError::Ended) => return,
-            Err(error) => return log::debug!("a stream to control ended: {error}"),
+            Err(error) => return log::debug!("stream failed; closing it: {error}"),
         }
     }
 }
--- a/crates/gateway/src/control/voters.rs
+++ b/crates/gateway/src/control/voters.rs
@@ -1,9 +1,9 @@
-//! Greetings between control hosts, and who votes.
+//! Hello messages between control hosts, and management of the voter seats.
 //!
-//! The log is founded once: by the lowest of the hosts with an empty disk, when the whole
-//! deployment starts for the first time and each seed has answered. Everyone else is added
-//! through the log, up to the number that bears the stated losses. A voter that has been silent
-//! for long is replaced when another host with a disk stands by.
+//! The log is bootstrapped once: by the host with the lowest name among those with an empty disk,
+//! when the whole deployment starts for the first time and each seed has responded. Other hosts
+//! join through the log, up to the number of voters that tolerates the configured losses. A voter
+//! that has been silent for long is replaced if another host with a disk is available.
 
 use std::time::Duration;
 
@@ -12,54 +12,55 @@
 use briartray_model::names::NodeName;
 
 use super::core::ControlCore;
-use super::host_book::SILENT;
+use super::host_book::HELLO_TIMEOUT;
 use super::input::CoreMessage;
 
-/// Time between two greetings.
-const GREET_EVERY: Duration = Duration::from_millis(400);
+/// Interval between hello messages.
+const HELLO_INTERVAL: Duration = Duration::from_millis(400);
 
-/// As above at the start, when everybody waits for everybody.
-const GREET_FIRST: Duration = Duration::from_millis(100);
+/// Interval between hello messages during the startup period, when hosts wait for each other.
+const STARTUP_HELLO_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the start lasts.
-const START_TIME: Duration = Duration::from_secs(4);
+/// Length of the startup period.
+const STARTUP_PERIOD: Duration = Duration::from_secs(4);
 
-/// Time without a greeting after which a voter counts as gone, if another host stands by. The next
-/// loss may follow as soon as the other host has had a few seconds to catch up; a voter that comes
-/// back later takes part as any other host.
-const ABSENT: Duration = Duration::from_millis(1_800);
+/// Time without a hello after which a voter counts as absent, if another host can replace it. The
+/// deployment tolerates the next loss once the replacement has caught up, which takes a few
+/// seconds. A voter that returns later is treated like any other host.
+const ABSENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// Time after which a host that was never heard again is forgotten.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time after which a silent host is forgotten.
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// Time after the start from which declarations are accepted with fewer voters than wanted.
-const VOTERS_WAIT: Duration = Duration::from_secs(8);
+/// Time after the start from which changes are accepted with fewer voters than configured.
+const VOTERS_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl ControlCore {
-    /// Takes the greeting of another control host.
-    pub(super) fn take_hello(&mut self, now: TimePoint, hello: HostHello) {
-        self.hosts.take(now, hello);
+    /// Processes a hello from another control host.
+    pub(super) fn receive_hello(&mut self, now: TimePoint, hello: HostHello) {
+        self.host_book.receive_hello(now, hello);
     }
 
-    /// Greets the other control hosts when it is time.
-    pub(super) fn greet(&mut self, now: TimePoint) {
-        if now < self.hosts.greet_at {
+    /// Sends hello messages to the other control hosts if they are due.
+    pub(super) fn send_hellos(&mut self, now: TimePoint) {
+        if now < self.host_book.next_hello_at {
             return;
         }
-        let start = now.since(TimePoint::default()) < START_TIME;
-        self.hosts.greet_at = now.after(if start { GREET_FIRST } else { GREET_EVERY });
-        self.hosts
-            .hosts
-            .retain(|_, host| host.heard == TimePoint::default() || now.since(host.heard) < FORGET);
-        let hello = self.hello();
-        let names: Vec<NodeName> = self.hosts.hosts.keys().cloned().collect();
+        let starting = now.since(TimePoint::default()) < STARTUP_PERIOD;
+        self.host_book.next_hello_at =
+            now.after(if starting { STARTUP_HELLO_INTERVAL } else { HELLO_INTERVAL });
+        self.host_book.hosts.retain(|_, host| {
+            host.heard == TimePoint::default() || now.since(host.heard) < FORGET_AFTER
+        });
+        let hello = self.own_hello();
+        let names: Vec<NodeName> = self.host_book.hosts.keys().cloned().collect();
         for node in &names {
             self.parts.peers.send(node, CoreMessage::Hello(hello.clone()));
         }
         self.parts.peers.retain(|node| names.contains(node));
     }
 
-    fn hello(&self) -> HostHello {
+    fn own_hello(&self) -> HostHello {
         let now = self.now();
         let own = self.parts.settings.node_name();
         let leads = self.is_established();
@@ -73,23 +74,23 @@
             founded: self.agreement.as_ref().is_some_and(|agreement| agreement.has_history()),
             leader,
             known: self
-                .hosts
+                .host_book
                 .hosts
                 .iter()
-                .filter(|(_, host)| host.hello.is_some() && now.since(host.heard) < SILENT)
+                .filter(|(_, host)| host.hello.is_some() && now.since(host.heard) < HELLO_TIMEOUT)
                 .map(|(node, _)| node.clone())
                 .collect(),
         }
     }
 
-    /// Founds the log, and keeps the voters at the number that bears the stated losses.
+    /// Bootstraps the log if needed, and maintains the number of voters.
     pub(super) fn manage_voters(&mut self, now: TimePoint) {
-        let others = self.hosts.with_disk(now, FORGET);
-        let founds = self.hosts.founds(now);
+        let others = self.host_book.hosts_with_disk(now, FORGET_AFTER);
+        let should_bootstrap = self.host_book.should_bootstrap(now);
         let Some(agreement) = &mut self.agreement else { return };
         agreement.set_peers(now, &others);
-        if founds && !agreement.has_history() && agreement.bootstrap(now) {
-            log::info!("this host founds the control log");
+        if should_bootstrap && !agreement.has_history() && agreement.bootstrap(now) {
+            log::info!("bootstrapping the replicated log on this host");
         }
         if self.leadership.is_none() {
             return;
@@ -97,15 +98,15 @@
         let own = self.parts.settings.node_name();
         let seats: Vec<NodeName> = agreement.seats().iter().map(|seat| seat.node.clone()).collect();
         for node in seats.iter().filter(|node| **node != own) {
-            agreement.set_absent(node, self.hosts.is_silent(now, node, ABSENT));
+            agreement.set_absent(node, self.host_book.is_silent(now, node, ABSENCE_TIMEOUT));
         }
         agreement.remove_surplus_voter();
     }
 
-    /// Whether enough hosts vote for a declaration to survive the stated losses.
+    /// Whether there are enough voters for an accepted change to survive the configured losses.
     pub(super) fn has_voters(&self, now: TimePoint) -> bool {
         let wanted = 2 * self.parts.role.losses + 1;
         let seats = self.agreement.as_ref().map_or(0, |agreement| agreement.seats().len());
-        seats >= wanted || now.since(TimePoint::default()) >= VOTERS_WAIT
+        seats >= wanted || now.since(TimePoint::default()) >= VOTERS_TIMEOUT
     }
 }
--- a/crates/gateway/src/entry/watch.rs
+++ b/crates/gateway/src/entry/control_link.rs
@@ -1,7 +1,7 @@
-//! The conversation of an entry with the leading control host.
+//! The link from an entry to the leading control host.
 //!
-//! Two threads hold one stream: reports go out, notices come in. A host that does not lead names
-//! the leader it knows; one that does not confirm a report in time is left for the next one.
+//! One thread sends reports and receives notices over a stream. A host that does not lead names the
+//! leader it knows. If a host does not confirm a report in time, the thread tries the next one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,36 +21,36 @@
 use crate::process::{ProcessError, SetupSnafu};
 use crate::settings::GatewaySettings;
 
-/// Reports that may wait to be sent.
+/// Maximum number of queued reports.
 const REPORT_QUEUE: usize = 16;
 
-/// Time to connect to a control host, a few ways between far regions.
+/// Connect timeout for control hosts: a few round trips between distant regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time between two control hosts that are tried one after the other.
-const NEXT_HOST: Duration = Duration::from_millis(60);
+/// Minimum interval between connections to successive control hosts.
+const HOST_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What the traffic thread is told.
-pub(super) enum WatchEvent {
-    /// News of a control host.
+/// Event for the traffic thread.
+pub(super) enum ControlEvent {
+    /// Notice from a control host.
     Notice(EntryNotice),
-    /// A stream was opened; a report is wanted.
+    /// A stream was opened; the traffic thread should send a report.
     Opened,
 }
 
-/// Starts the conversation.
+/// Starts the link thread.
 ///
 /// # Errors
-/// A `ProcessError` when a thread cannot be had.
+/// A [`ProcessError`] if the link or its thread cannot be set up.
 pub(super) fn start(
     settings: &GatewaySettings,
-) -> Result<(Sender<EntryReport>, mpsc::UnboundedReceiver<WatchEvent>), ProcessError> {
+) -> Result<(Sender<EntryReport>, mpsc::UnboundedReceiver<ControlEvent>), ProcessError> {
     let (reports, queue) = bounded(REPORT_QUEUE);
     let (events, receiver) = mpsc::unbounded_channel();
     let link =
         ClientSettings { token: settings.link_token.clone(), connect_timeout: CONNECT_TIMEOUT };
     let client = LinkClient::start("control-link", link)?;
-    let talk = ControlTalk {
+    let session = ControlSession {
         client,
         settings: settings.clone(),
         hosts: settings.seed_names(),
@@ -60,20 +60,23 @@
         queue,
         events,
     };
-    spawn_worker("control-talk", WORKER_STACK_BYTES, move || talk.run())
-        .context(SetupSnafu { what: "the thread that talks to control" })?;
+    spawn_worker("control-talk", WORKER_STACK_BYTES, move || session.run())
+        .context(SetupSnafu { what: "the control link thread" })?;
     Ok((reports, receiver))
 }
 
-/// Hands events to the traffic thread's state, and reports at a steady pace.
-pub(super) async fn follow(state: Rc<EntryState>, mut events: mpsc::UnboundedReceiver<WatchEvent>) {
+/// Applies events to the state of the traffic thread, and sends reports at regular intervals.
+pub(super) async fn process_events(
+    state: Rc<EntryState>,
+    mut events: mpsc::UnboundedReceiver<ControlEvent>,
+) {
     let mut reported = tokio::time::Instant::now();
     loop {
-        let pause = state.report_pause();
+        let pause = state.next_report_pause();
         tokio::select! {
             event = events.recv() => match event {
-                Some(WatchEvent::Notice(notice)) => state.adopt(notice),
-                Some(WatchEvent::Opened) => {
+                Some(ControlEvent::Notice(notice)) => state.apply_notice(notice),
+                Some(ControlEvent::Opened) => {
                     state.begin_leader();
                     state.send_report();
                 }
@@ -87,28 +90,28 @@
     }
 }
 
-struct ControlTalk {
+struct ControlSession {
     client: LinkClient,
     settings: GatewaySettings,
     hosts: Vec<NodeName>,
-    /// Position of the host that is tried next.
+    /// Index of the host to try next.
     next: usize,
-    /// Times that all hosts were tried without a word of a leader.
+    /// Rounds through all hosts without finding a leader.
     rounds: u32,
     leader: Option<NodeName>,
     queue: Receiver<EntryReport>,
-    events: mpsc::UnboundedSender<WatchEvent>,
+    events: mpsc::UnboundedSender<ControlEvent>,
 }
 
-/// Why a stream was left.
-enum TalkEnd {
-    /// The traffic thread is gone.
+/// Reason why a stream was closed.
+enum SessionEnd {
+    /// The traffic thread has ended.
     Stopped,
-    /// The host does not lead, or does not answer.
-    Next,
+    /// The host does not lead, does not respond, or the stream broke.
+    NextHost,
 }
 
-impl ControlTalk {
+impl ControlSession {
     fn run(mut self) {
         let clock = ClockReader::start();
         loop {
@@ -116,18 +119,20 @@
             let Some((host, wait)) = self.next_host(began) else { return };
             let Some(address) = self.settings.link_address(&host) else { continue };
             let (writer, reader) = self.client.open(address, CallKind::Routing);
-            log::debug!("asking the control host at {address}");
-            if self.events.send(WatchEvent::Opened).is_err() {
+            log::debug!("opening stream to control host at {address}");
+            if self.events.send(ControlEvent::Opened).is_err() {
                 return;
             }
-            if matches!(self.talk(&host, &writer, &reader, &clock, wait), TalkEnd::Stopped) {
+            if matches!(self.run_stream(&host, &writer, &reader, &clock, wait), SessionEnd::Stopped)
+            {
                 return;
             }
-            std::thread::sleep(NEXT_HOST.saturating_sub(clock.now().since(began)));
+            std::thread::sleep(HOST_INTERVAL.saturating_sub(clock.now().since(began)));
         }
     }
 
-    /// The leader that was named last, or the next of the known hosts, and how long it is waited for.
+    /// The leader named last or the next known host, and the time to wait for its notices; `None`
+    /// if no host is known.
     fn next_host(&mut self, now: TimePoint) -> Option<(NodeName, AnswerWait)> {
         if let Some(leader) = self.leader.take() {
             return Some((leader, AnswerWait::new(now)));
@@ -141,56 +146,58 @@
         Some((host, AnswerWait::searching(now, self.rounds)))
     }
 
-    fn talk(
+    fn run_stream(
         &mut self,
         host: &NodeName,
         writer: &LinkWriter,
         reader: &LinkReader,
         clock: &ClockReader,
         mut wait: AnswerWait,
-    ) -> TalkEnd {
+    ) -> SessionEnd {
         loop {
             for report in self.queue.try_iter() {
                 if writer.try_send(&report).is_err() {
-                    return TalkEnd::Next;
+                    return SessionEnd::NextHost;
                 }
                 wait.asked(clock.now());
             }
-            match reader.receive::<EntryNotice>(POLL) {
+            match reader.receive::<EntryNotice>(RECEIVE_TIMEOUT) {
                 Ok(notice) => {
                     wait.heard(&notice);
                     if notice.leads {
                         self.rounds = 0;
                     }
-                    if self.take(host, notice).is_none() {
-                        return TalkEnd::Stopped;
+                    if self.forward_notice(host, notice).is_none() {
+                        return SessionEnd::Stopped;
                     }
                     if self.leader.is_some() {
-                        return TalkEnd::Next;
+                        return SessionEnd::NextHost;
                     }
                 }
                 Err(LinkError::TimedOut) => {}
                 Err(error) => {
-                    log::debug!("the control host {host} is left: {error}");
-                    return TalkEnd::Next;
+                    log::debug!(
+                        "stream to control host {host} failed; trying the next host: {error}"
+                    );
+                    return SessionEnd::NextHost;
                 }
             }
             if wait.is_over(clock.now()) {
-                return TalkEnd::Next;
+                return SessionEnd::NextHost;
             }
         }
     }
 
-    /// Passes a notice on; `None` when the traffic thread is gone.
-    fn take(&mut self, host: &NodeName, notice: EntryNotice) -> Option<()> {
+    /// Forwards a notice to the traffic thread; `None` if that thread has ended.
+    fn forward_notice(&mut self, host: &NodeName, notice: EntryNotice) -> Option<()> {
         merge_hosts(&mut self.hosts, notice.control.clone());
         self.leader = notice.leader.clone().filter(|leader| leader != host);
         if notice.leader.is_some() {
             return Some(());
         }
-        self.events.send(WatchEvent::Notice(notice)).ok()
+        self.events.send(ControlEvent::Notice(notice)).ok()
     }
 }
 
-/// Longest wait for a notice before reports are looked for.
-const POLL: Duration = Duration::from_millis(20);
+/// Maximum wait for a notice before queued reports are sent.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
--- a/crates/gateway/src/entry/crash_check.rs
+++ b/crates/gateway/src/entry/crash_check.rs
@@ -1,8 +1,8 @@
-//! Telling a crash of an endpoint from a connection that was merely lost.
+//! Distinguishes an endpoint crash from a lost connection.
 //!
-//! A connection that breaks says little: links are cut, answers are lost, and an endpoint may break off one
-//! answer and go on. When an endpoint has crashed nothing listens at its address until it is started again, so
-//! its host refuses a new connection.
+//! A broken connection alone is not evidence of a crash: links fail, responses are lost, and an
+//! endpoint may abort one response and keep running. After a crash nothing listens at the
+//! endpoint's address until it is restarted, so its host refuses a new connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,23 +15,25 @@
 use super::dispatch::{SentTo, ServedRequest};
 use super::state::EntryState;
 
-/// Time between the two looks at an endpoint: it may close its connections before it stops listening.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+/// Pause before the second connection attempt: a crashing endpoint may close its connections before
+/// it stops listening.
+const RECHECK_DELAY: Duration = Duration::from_millis(40);
 
-/// A request whose connection broke.
+/// A request whose connection to the endpoint broke.
 #[derive(Debug, Clone)]
 pub(super) struct BrokenRun {
     print: RequestPrint,
     rule: String,
     team: Option<TeamName>,
-    /// When it was sent to the endpoint.
+    /// When the request was sent to the endpoint.
     began: TimePoint,
-    /// When its connection broke.
+    /// When the connection broke.
     broke: TimePoint,
 }
 
-/// Finds out whether the endpoint that `request` was sent to last has crashed, and reports that. Requests whose
-/// connections break meanwhile share the answer.
+/// Starts a check whether the endpoint that last received `request` has crashed, and reports a
+/// crash to the leader. Requests to the same endpoint whose connections break during the check
+/// share its result.
 pub(super) fn check(request: &ServedRequest) {
     let Some(SentTo { endpoint, address, at }) = request.sent_to.clone() else { return };
     let state = &request.state;
@@ -39,40 +41,43 @@
         return;
     }
     let run = BrokenRun {
-        print: request.print(),
+        print: request.fingerprint(),
         rule: request.rule.name.clone(),
         team: request.team.clone(),
         began: at,
         broke: state.now(),
     };
-    let mut broken = state.broken.borrow_mut();
-    if let Some(runs) = broken.get_mut(&endpoint) {
+    let mut broken_runs = state.broken_runs.borrow_mut();
+    if let Some(runs) = broken_runs.get_mut(&endpoint) {
         return runs.push(run);
     }
-    broken.insert(endpoint.clone(), vec![run]);
-    tokio::task::spawn_local(look(Rc::clone(state), endpoint, address));
+    broken_runs.insert(endpoint.clone(), vec![run]);
+    tokio::task::spawn_local(run_check(Rc::clone(state), endpoint, address));
 }
 
-async fn look(state: Rc<EntryState>, endpoint: IncarnationId, address: SocketAddr) {
+async fn run_check(state: Rc<EntryState>, endpoint: IncarnationId, address: SocketAddr) {
     let mut crashed = briartray_http::is_refused(address).await;
     if !crashed {
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(RECHECK_DELAY).await;
         crashed = briartray_http::is_refused(address).await;
     }
-    let runs = state.broken.borrow_mut().remove(&endpoint).unwrap_or_default();
+    let runs = state.broken_runs.borrow_mut().remove(&endpoint).unwrap_or_default();
     if !crashed {
-        log::debug!(endpoint:% = endpoint, requests = runs.len(); "connections broke, and the endpoint listens");
+        log::debug!(endpoint:% = endpoint, requests = runs.len();
+            "connections broke, but the endpoint still listens; not counted as a crash");
         return;
     }
     state.metrics.crashes.inc();
-    log::warn!(endpoint:% = endpoint, requests = runs.len(); "an endpoint crashed");
+    log::warn!(endpoint:% = endpoint, requests = runs.len();
+        "endpoint crashed while serving requests; reporting to the leader");
     for BrokenRun { print, rule, team, began, broke } in runs {
-        if state.lines.allows(state.now()) {
-            log::info!(print:%, endpoint:% = endpoint, rule; "a request ran on an endpoint that crashed");
+        if state.log_budget.allows(state.now()) {
+            log::info!(print:%, endpoint:% = endpoint, rule;
+                "request was running on an endpoint that crashed");
         }
         let ran_ms = u64::try_from(broke.since(began).as_millis()).unwrap_or(u64::MAX);
         let end = RunEnd::Crashed { endpoint: endpoint.clone(), ran_ms, rule, team };
-        state.runs.borrow_mut().note(broke, print, end);
+        state.evidence_log.borrow_mut().note(broke, print, end);
     }
     state.send_report();
 }
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! One attempt: choosing a target, sending, and judging the head of the answer.
+//! A single attempt: choosing a target, sending the request, and validating the response head.
 
 use std::cell::{OnceCell, RefCell};
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 use super::state::EntryState;
 use briartray_http::{Exchange, SendFailure};
 
-/// Time that is kept back for the way to the caller and for answering in time.
+/// Time reserved for returning the response to the caller before the deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 
-/// A request that is being served.
+/// An admitted request.
 pub(super) struct ServedRequest {
     pub(super) state: Rc<EntryState>,
     pub(super) book: Rc<RouteBook>,
@@ -37,20 +37,20 @@
     pub(super) body: Bytes,
     /// When its head had been read.
     pub(super) arrived: TimePoint,
-    /// When the caller or the rule gives up.
-    pub(super) until: TimePoint,
-    /// Idle connections that this entry keeps to one endpoint of the service.
+    /// When the caller's deadline or the rule's timeout expires, whichever is earlier.
+    pub(super) deadline: TimePoint,
+    /// Number of idle connections that this entry keeps per endpoint of the service.
     pub(super) idle_connections: usize,
     /// Target of the attempt in progress.
     pub(super) chosen: Rc<RefCell<Option<TargetId>>>,
-    /// Targets it was sent to.
+    /// Targets that the request was sent to.
     pub(super) tried: Vec<TargetId>,
-    /// Endpoint that it was sent to last.
+    /// Endpoint that the request was last sent to.
     pub(super) sent_to: Option<SentTo>,
-    /// What identifies it, once that was wanted.
-    pub(super) print: OnceCell<RequestPrint>,
-    /// Replicas that may have run it. One that said that it had not does not count towards the
-    /// attempts that the rule allows.
+    /// Fingerprint of the request, computed on first use.
+    pub(super) fingerprint: OnceCell<RequestPrint>,
+    /// Number of replicas that may have run the request. A replica that reported that it did not
+    /// run it does not count towards the rule's maximum number of attempts.
     pub(super) runs: u32,
 }
 
@@ -62,10 +62,11 @@
     pub(super) at: TimePoint,
 }
 
-/// Sends beyond the attempts that a rule allows, when replicas did not take the request.
+/// Additional sends beyond the rule's maximum attempts, for replicas that did not accept the
+/// request.
 const EXTRA_SENDS: u32 = 1;
 
-/// Counts a request on its target until it is dropped.
+/// Counts a request on its target until dropped.
 pub(super) struct TargetGuard {
     state: Rc<EntryState>,
     began: TimePoint,
@@ -81,19 +82,19 @@
         Self { state: Rc::clone(state), began: state.now(), target: choice.target.clone() }
     }
 
-    /// Bytes came from the target.
-    pub(super) fn moved(&self) {
+    /// Records that bytes arrived from the target.
+    pub(super) fn note_progress(&self) {
         self.state.table.borrow_mut().moved(self.state.now(), &self.target);
     }
 
-    /// The first part of the answer came.
-    pub(super) fn first_part(&self) {
+    /// Records that the first part of the response arrived.
+    pub(super) fn note_first_part(&self) {
         let now = self.state.now();
         let took = now.since(self.began);
         self.state.table.borrow_mut().first_part(now, &self.target, took);
     }
 
-    /// Whether nothing is to be expected of the target.
+    /// Whether the target has been silent for so long that no response is expected.
     pub(super) fn is_given_up(&self) -> bool {
         self.state.table.borrow().is_given_up(self.state.now(), &self.target)
     }
@@ -106,25 +107,25 @@
     }
 }
 
-/// An answer of a replica whose head has been judged.
+/// A replica's response whose head has been validated and whose body has not been read.
 pub(super) struct LiveAnswer {
     pub(super) exchange: Exchange,
-    pub(super) told: AnswerHead,
+    pub(super) head: AnswerHead,
     pub(super) address: SocketAddr,
     pub(super) guard: TargetGuard,
 }
 
-/// Why an attempt brought no answer.
+/// Reason why an attempt produced no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptFailure {
-    /// There was nowhere to send it.
+    /// No target was available.
     NoTarget(ChoiceRefusal),
-    /// It was sent, or nearly.
+    /// The attempt failed while connecting or sending, or after the request was sent.
     Ended(AttemptEnd),
 }
 
-/// What identifies a request of `team`.
-pub(super) fn request_print(
+/// Computes the fingerprint of a request from `team`.
+pub(super) fn request_fingerprint(
     state: &EntryState,
     parts: &Parts,
     head: &CallerHead,
@@ -133,47 +134,54 @@
 ) -> RequestPrint {
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let team = team.map(TeamName::as_str);
-    state.print(&PrintParts { host: &head.host, path, team, body })
+    state.fingerprint(&PrintParts { host: &head.host, path, team, body })
 }
 
 impl ServedRequest {
-    /// The caller's id, for the log.
-    pub(super) fn id(&self) -> &str {
+    /// The caller's request ID for log lines; empty if there is none.
+    pub(super) fn request_id(&self) -> &str {
         self.head.request_id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("")
     }
 
-    /// What identifies it, whatever its id.
-    pub(super) fn print(&self) -> RequestPrint {
-        *self.print.get_or_init(|| {
-            request_print(&self.state, &self.parts, &self.head, self.team.as_ref(), &self.body)
+    /// Fingerprint of the request, which does not depend on its ID.
+    pub(super) fn fingerprint(&self) -> RequestPrint {
+        *self.fingerprint.get_or_init(|| {
+            request_fingerprint(
+                &self.state,
+                &self.parts,
+                &self.head,
+                self.team.as_ref(),
+                &self.body,
+            )
         })
     }
 
-    /// How it stands with the quarantine.
+    /// Whether the request is clear, suspected or quarantined.
     fn standing(&self) -> PrintStanding {
-        self.state.standing(|| self.print())
+        self.state.standing(|| self.fingerprint())
     }
 
-    /// It ran to its end. A request that was at crashes is cleared by that.
-    pub(super) fn ran_whole(&self) {
+    /// Records that the request ran to completion, which clears it if it was suspected of crashes.
+    pub(super) fn record_complete_run(&self) {
         if self.standing() != PrintStanding::Clear {
             let now = self.state.now();
-            self.state.runs.borrow_mut().note(now, self.print(), RunEnd::Whole);
+            self.state.evidence_log.borrow_mut().note(now, self.fingerprint(), RunEnd::Whole);
             self.state.send_report();
         }
     }
 
-    /// Time that is left.
-    pub(super) fn left(&self) -> Duration {
-        self.until.since(self.state.now())
+    /// Time until the deadline.
+    pub(super) fn time_left(&self) -> Duration {
+        self.deadline.since(self.state.now())
     }
 
-    /// Whether a further attempt makes sense, apart from what it may do.
-    pub(super) fn may_try(&self) -> bool {
-        self.left() > ANSWER_MARGIN * 2 && self.state.take_repeat(&self.service)
+    /// Whether the time left and the retry budget allow another attempt. Takes one retry from the
+    /// budget.
+    pub(super) fn may_retry(&self) -> bool {
+        self.time_left() > ANSWER_MARGIN * 2 && self.state.take_retry(&self.service)
     }
 
-    /// What follows from the end of an attempt.
+    /// Decides how to proceed after an attempt.
     pub(super) fn next_move(&self, end: AttemptEnd) -> NextMove {
         let sends = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         let may_send = sends < self.rule.max_attempts.max(1) + EXTRA_SENDS;
@@ -184,20 +192,20 @@
             may_try: may_send,
         };
         match plan.next(end) {
-            // A second endpoint would crash as well.
+            // A suspected request could crash a second endpoint.
             NextMove::SendAgain if self.standing() != PrintStanding::Clear => {
                 AttemptPlan { may_try: false, ..plan }.next(end)
             }
-            // The budget is asked only when everything else allows another attempt.
-            NextMove::SendAgain if !self.may_try() => {
+            // The retry budget is charged only if all other conditions allow another attempt.
+            NextMove::SendAgain if !self.may_retry() => {
                 AttemptPlan { may_try: false, ..plan }.next(end)
             }
             next => next,
         }
     }
 
-    /// Chooses a target.
-    pub(super) fn choose(&self) -> Result<TargetChoice, ChoiceRefusal> {
+    /// Chooses the target for the next attempt.
+    pub(super) fn choose_target(&self) -> Result<TargetChoice, ChoiceRefusal> {
         let wish = TargetWish {
             service: &self.service,
             model: self.head.model.as_deref(),
@@ -213,13 +221,13 @@
         choice
     }
 
-    /// Sends the request to a target and waits for the head of its answer; `last_event` is where
-    /// a stream goes on.
+    /// Sends the request to a target and waits for the response head. `last_event` is the ID of the
+    /// event after which a stream is resumed.
     pub(super) async fn attempt(
         &mut self,
         last_event: Option<u64>,
     ) -> Result<LiveAnswer, AttemptFailure> {
-        let choice = self.choose().map_err(AttemptFailure::NoTarget)?;
+        let choice = self.choose_target().map_err(AttemptFailure::NoTarget)?;
         let Some(address) = EntryState::parse_address(&choice.address) else {
             return Err(AttemptFailure::NoTarget(ChoiceRefusal::NoReplica));
         };
@@ -228,7 +236,7 @@
             &self.parts,
             &DispatchTerms {
                 endpoint: &choice.endpoint,
-                left: self.left().saturating_sub(ANSWER_MARGIN),
+                left: self.time_left().saturating_sub(ANSWER_MARGIN),
                 team: self.team.as_ref(),
                 priority: self.priority,
                 last_event,
@@ -241,7 +249,7 @@
         self.sent_to = Some(SentTo { endpoint, address, at: self.state.now() });
         let outcome = self.send(address, request, &choice.target).await;
         match outcome {
-            Ok(exchange) => self.judge(exchange, address, guard),
+            Ok(exchange) => self.check_head(exchange, address, guard),
             Err(failure) => {
                 match failure {
                     SendFailure::NotConnected => {
@@ -254,7 +262,7 @@
                     SendFailure::NotConnected | SendFailure::NotSent => AttemptEnd::NotRun,
                     SendFailure::Broken => AttemptEnd::MayHaveRun,
                 };
-                Err(self.ended(end))
+                Err(self.end_attempt(end))
             }
         }
     }
@@ -265,8 +273,8 @@
         request: http::Request<Bytes>,
         target: &TargetId,
     ) -> Result<Exchange, SendFailure> {
-        // A request that must not run twice goes over a new connection: one from the pool may be
-        // closed by the endpoint while the request is on its way, and its outcome is then unknown.
+        // A request that must not run twice uses a new connection: the endpoint may close a pooled
+        // connection while the request is in flight, which would leave the outcome unknown.
         let once = self.rule.kind == RepeatKind::Once;
         let now = self.state.now();
         let idle = if once { None } else { self.state.pool.borrow_mut().take(now, address) };
@@ -275,61 +283,64 @@
         let sent = connection.send(request.clone()).await;
         match sent {
             Err(SendFailure::NotSent) if pooled => {
-                log::debug!("a kept connection to {address} was closed ({target:?})");
+                log::debug!(
+                    "pooled connection to {address} ({target:?}) was closed; opening a new one"
+                );
                 briartray_http::connect(None, address).await?.send(request).await
             }
             sent => sent,
         }
     }
 
-    /// Whether the answer is this request's, and what it says.
-    fn judge(
+    /// Checks that the response belongs to this request, and records the load and limit in its
+    /// head.
+    fn check_head(
         &mut self,
         exchange: Exchange,
         address: SocketAddr,
         guard: TargetGuard,
     ) -> Result<LiveAnswer, AttemptFailure> {
         let status = exchange.head.status;
-        let told = AnswerHead::read(status, &exchange.head.headers);
-        if !told.answers(self.head.request_id.as_ref()) {
-            log::warn!("an answer at {address} belongs to another request and is dropped");
-            return Err(self.ended(AttemptEnd::MayHaveRun));
+        let head = AnswerHead::read(status, &exchange.head.headers);
+        if !head.answers(self.head.request_id.as_ref()) {
+            log::warn!("response from {address} has the ID of another request; dropping it");
+            return Err(self.end_attempt(AttemptEnd::MayHaveRun));
         }
         let now = self.state.now();
-        if let Some(load) = told.load {
+        if let Some(load) = head.load {
             self.state.table.borrow_mut().sample(now, &guard.target, load);
         }
-        if !told.other_endpoint {
-            self.state.hear_limit(self.sent_to.as_ref().map(|sent| &sent.endpoint), told.limit);
+        if !head.other_endpoint {
+            self.state.record_limit(self.sent_to.as_ref().map(|sent| &sent.endpoint), head.limit);
         } else {
             self.state.table.borrow_mut().failed(now, &guard.target);
         }
-        if told.not_run {
-            log::debug!(status = status.as_u16(); "a replica did not take a request");
-            return Err(self.ended(AttemptEnd::NotRun));
+        if head.not_run {
+            log::debug!(status = status.as_u16(); "replica did not accept the request");
+            return Err(self.end_attempt(AttemptEnd::NotRun));
         }
-        if !told.stamped {
-            log::warn!(status = status.as_u16(); "an answer without a replica's proof is dropped");
-            return Err(self.ended(AttemptEnd::MayHaveRun));
+        if !head.stamped {
+            log::warn!(status = status.as_u16(); "response lacks the replica's stamp; dropping it");
+            return Err(self.end_attempt(AttemptEnd::MayHaveRun));
         }
-        Ok(LiveAnswer { exchange, told, address, guard })
+        Ok(LiveAnswer { exchange, head, address, guard })
     }
 
-    /// Notes how an attempt ended.
-    pub(super) fn ended(&mut self, end: AttemptEnd) -> AttemptFailure {
+    /// Records and logs the end of an attempt.
+    pub(super) fn end_attempt(&mut self, end: AttemptEnd) -> AttemptFailure {
         self.runs += u32::from(end != AttemptEnd::NotRun);
         let outcome = match end {
             AttemptEnd::NotRun => "not_run",
             AttemptEnd::MayHaveRun => "unknown",
             AttemptEnd::RunFailed => "failed",
         };
-        self.state.metrics.attempt(outcome);
-        if self.state.lines.allows(self.state.now()) {
+        self.state.metrics.count_attempt(outcome);
+        if self.state.log_budget.allows(self.state.now()) {
             log::info!(
-                request = self.id(), service = self.service.as_str(), outcome,
+                request = self.request_id(), service = self.service.as_str(), outcome,
                 sends = self.tried.len(), runs = self.runs,
-                left_ms = u64::try_from(self.left().as_millis()).unwrap_or(u64::MAX);
-                "an attempt failed at {:?}", self.tried.last()
+                left_ms = u64::try_from(self.time_left().as_millis()).unwrap_or(u64::MAX);
+                "attempt failed at target {:?}", self.tried.last()
             );
         }
         AttemptFailure::Ended(end)
@@ -337,11 +348,12 @@
 }
 
 impl LiveAnswer {
-    /// Keeps the connection for later, when the answer was whole and allows it.
-    pub(super) fn release(self, request: &ServedRequest) {
-        if !self.told.closes {
+    /// Returns the connection to the pool if the response was complete and the endpoint keeps it
+    /// open.
+    pub(super) fn release_connection(self, request: &ServedRequest) {
+        if !self.head.closes {
             let connection = self.exchange.into_connection();
-            let (now, limit) = (request.state.now(), self.told.idle_limit);
+            let (now, limit) = (request.state.now(), self.head.idle_limit);
             let mut pool = request.state.pool.borrow_mut();
             pool.put(now, self.address, connection, limit, request.idle_connections);
         }
--- a/crates/gateway/src/entry/mod.rs
+++ b/crates/gateway/src/entry/mod.rs
@@ -1,15 +1,16 @@
-//! The entry role: one thread serves callers, another one talks to the leading control host.
+//! The entry role. The traffic thread serves callers; another thread maintains the link to the
+//! leading control host.
 
+mod control_link;
 mod crash_check;
 mod dispatch;
-mod journal;
-mod plain;
 mod refusal;
-mod relay;
 mod serve;
 mod state;
 mod stream_clock;
-mod watch;
+mod stream_relay;
+mod telemetry;
+mod whole_answer;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,25 +26,26 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-use self::journal::EntryMetrics;
 use self::state::EntryState;
+use self::telemetry::EntryMetrics;
 use crate::metrics_port;
 use crate::process::{ProcessError, SetupSnafu};
 use crate::settings::{EntryRole, GatewaySettings};
 use briartray_http::{AnswerBody, HttpServer, ServerLimits};
 
-/// Stack of the traffic thread, in bytes.
+/// Stack size of the traffic thread, in bytes.
 const TRAFFIC_STACK_BYTES: usize = 2 * 1024 * 1024;
 
-/// Callers' connections that are open at one time; descriptors for endpoints are left beside.
+/// Maximum number of open connections from callers; leaves file descriptors for connections to
+/// endpoints.
 const MAX_CONNECTIONS: usize = 2_500;
 
-/// Idle time of callers' connections before a declaration names one; callers keep connections for
-/// up to four fifths of the declared time, so this is above what declarations name.
-const IDLE_LIMIT: Duration = Duration::from_secs(40);
+/// Idle timeout for connections from callers. It must exceed every idle timeout that a deployment
+/// plan declares, since callers reuse connections for up to four fifths of the declared time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Time between two looks for silent targets and idle connections.
-const HOUSEKEEPING: Duration = Duration::from_millis(50);
+/// Interval between housekeeping passes: detecting silent targets and closing idle connections.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running entry.
 #[derive(Debug)]
@@ -53,29 +55,31 @@
 }
 
 impl EntryProcess {
-    /// Starts the traffic thread.
+    /// Binds the ports and starts the threads of the role.
     ///
     /// # Errors
-    /// A `ProcessError` when a port or a thread cannot be had.
+    /// A [`ProcessError`] if a port, the link or a thread cannot be set up.
     pub fn start(settings: &GatewaySettings, role: &EntryRole) -> Result<Self, ProcessError> {
         let (stop, stopped) = oneshot::channel();
         let (end, ended) = bounded(1);
         let callers = listen(role.callers)?;
         let ready = listen(role.ready)?;
-        let (watch, notices) = watch::start(settings)?;
+        let (reports, events) = control_link::start(settings)?;
         let hub = MetricsHub::default();
         let metrics = hub.add(EntryMetrics::register);
-        let state = EntryState::builder(settings.clone(), watch, metrics);
+        let state = EntryState::builder(settings.clone(), reports, metrics);
         let run = move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             match runtime {
                 Ok(runtime) => {
                     let local = tokio::task::LocalSet::new();
                     let state = Rc::new(state.build());
-                    let parts = EntryParts { callers, ready, notices, stopped, end, hub };
+                    let parts = EntryParts { callers, ready, events, stopped, end, hub };
                     local.block_on(&runtime, serve_all(state, parts));
                 }
-                Err(error) => log::error!("traffic cannot be served: {error}"),
+                Err(error) => {
+                    log::error!("cannot serve callers; failed to start the async runtime: {error}")
+                }
             }
         };
         spawn_worker("traffic", TRAFFIC_STACK_BYTES, run)
@@ -83,8 +87,9 @@
         Ok(Self { stop, ended })
     }
 
-    /// Ends as a planned stop: takes no new connections once the balancer has noticed, and cuts
-    /// off nothing that ends within `grace`. Tells whether all requests had ended by then.
+    /// Drains the entry for a planned stop: stops accepting connections once the load balancer has
+    /// noticed, and lets requests finish within `grace`. Returns whether all connections closed in
+    /// time.
     pub fn drain(self, grace: Duration) -> bool {
         let _ = self.stop.send(grace);
         self.ended.recv_timeout(grace).unwrap_or(false)
@@ -97,46 +102,46 @@
     Ok(listener)
 }
 
-/// What the traffic thread is made of, beside its state.
+/// Inputs of the traffic thread other than its state.
 struct EntryParts {
     callers: std::net::TcpListener,
     ready: std::net::TcpListener,
-    notices: tokio::sync::mpsc::UnboundedReceiver<watch::WatchEvent>,
+    events: tokio::sync::mpsc::UnboundedReceiver<control_link::ControlEvent>,
     stopped: oneshot::Receiver<Duration>,
     end: Sender<bool>,
     hub: MetricsHub,
 }
 
 async fn serve_all(state: Rc<EntryState>, parts: EntryParts) {
-    let EntryParts { callers, ready, notices, stopped, end, hub } = parts;
+    let EntryParts { callers, ready, events, stopped, end, hub } = parts;
     let _metrics = metrics_port::serve(state.settings.metrics, hub).await;
-    let limits = ServerLimits { connections: MAX_CONNECTIONS, idle: IDLE_LIMIT };
+    let limits = ServerLimits { connections: MAX_CONNECTIONS, idle: IDLE_TIMEOUT };
     let (Ok(callers), Ok(ready)) = (TcpListener::from_std(callers), TcpListener::from_std(ready))
     else {
-        return log::error!("the ports for callers cannot be served");
+        return log::error!("cannot serve callers; failed to register the listening sockets");
     };
-    let serving = Rc::clone(&state);
+    let traffic_state = Rc::clone(&state);
     let traffic = HttpServer::start(callers, limits, move |request| {
-        serve::handle(Rc::clone(&serving), request)
+        serve::handle(Rc::clone(&traffic_state), request)
     });
-    let asked = Rc::clone(&state);
+    let readiness_state = Rc::clone(&state);
     let _readiness = HttpServer::start(ready, limits, move |request| {
-        let answer = tell_readiness(&asked, &request);
+        let answer = readiness_response(&readiness_state, &request);
         async move { answer }
     });
-    tokio::task::spawn_local(keep_house(Rc::clone(&state)));
-    tokio::task::spawn_local(watch::follow(Rc::clone(&state), notices));
-    let whole = match stopped.await {
+    tokio::task::spawn_local(run_housekeeping(Rc::clone(&state)));
+    tokio::task::spawn_local(control_link::process_events(Rc::clone(&state), events));
+    let all_closed = match stopped.await {
         Ok(grace) => drain(&state, &traffic, grace).await,
         Err(_) => false,
     };
-    // Nobody waits for it when the process is ended otherwise.
-    let _ = end.send(whole);
+    // The receiver is gone if the process did not shut down through `drain`.
+    let _ = end.send(all_closed);
 }
 
-fn tell_readiness(state: &EntryState, request: &Request<Incoming>) -> Response<AnswerBody> {
-    let known = request.uri().path() == briartray_platform::READINESS_PATH;
-    let status = match (known, state.is_ready()) {
+fn readiness_response(state: &EntryState, request: &Request<Incoming>) -> Response<AnswerBody> {
+    let is_readiness = request.uri().path() == briartray_platform::READINESS_PATH;
+    let status = match (is_readiness, state.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         (false, _) => StatusCode::NOT_FOUND,
@@ -146,24 +151,24 @@
     answer
 }
 
-async fn keep_house(state: Rc<EntryState>) {
+async fn run_housekeeping(state: Rc<EntryState>) {
     loop {
-        tokio::time::sleep(HOUSEKEEPING).await;
-        state.keep_house();
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
+        state.housekeeping_pass();
     }
 }
 
-/// Whether every request ended before the limit.
+/// Stops accepting connections; returns whether all connections closed before the cut-off time.
 async fn drain(state: &EntryState, traffic: &HttpServer, grace: Duration) -> bool {
     let started = Instant::now();
     state.begin_drain();
-    log::info!(open = traffic.open(), running = state.running(); "draining");
+    log::info!(open = traffic.open(), running = state.running(); "draining connections");
     let schedule = DrainSchedule::new(grace);
     tokio::time::sleep(schedule.listen).await;
     traffic.stop();
     while traffic.open() > 0 && started.elapsed() < schedule.cut {
-        tokio::time::sleep(HOUSEKEEPING).await;
+        tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
     }
-    log::info!(left = traffic.open(), running = state.running(); "drained");
+    log::info!(left = traffic.open(), running = state.running(); "stopped draining connections");
     started.elapsed() < schedule.cut
 }
--- a/crates/gateway/src/entry/serve.rs
+++ b/crates/gateway/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to its answer.
+//! Handling of a caller's request, from its head to the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -15,16 +15,16 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-use super::dispatch::{ServedRequest, request_print};
+use super::dispatch::{ServedRequest, request_fingerprint};
 use super::refusal::{RefusalKind, refuse};
 use super::state::EntryState;
-use super::{plain, relay};
+use super::{stream_relay, whole_answer};
 use briartray_http::AnswerBody;
 
-/// Idle connections to one endpoint at the most.
-const MAX_IDLE: usize = 16;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// Time to wait for a caller who names none.
+/// Deadline for callers that do not name one.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// Serves one request.
@@ -36,21 +36,21 @@
     let arrived = state.now();
     let (parts, body) = request.into_parts();
     let id = CallerHead::read(&parts).request_id;
-    let mut answer = match take(&state, parts, body).await {
-        Ok(request) if request.rule.kind.is_stream() => relay::serve(request).await,
-        Ok(request) => plain::serve(request).await,
+    let mut answer = match admit(&state, parts, body).await {
+        Ok(request) if request.rule.kind.is_stream() => stream_relay::serve(request).await,
+        Ok(request) => whole_answer::serve(request).await,
         Err(kind) => refuse(kind),
     };
-    note_answer(&state, id.as_ref(), arrived, &answer);
+    record_answer(&state, id.as_ref(), arrived, &answer);
     if state.is_draining() {
-        // The caller's next request goes to an entry that stays.
+        // The caller's next request should go to an entry that is not draining.
         answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     answer
 }
 
-/// Counts an answer, and writes a line when it is not a success.
-fn note_answer(
+/// Counts a response, and logs it if it is not a success.
+fn record_answer(
     state: &EntryState,
     id: Option<&HeaderValue>,
     arrived: TimePoint,
@@ -59,12 +59,12 @@
     let refused = answer.extensions().get::<RefusalKind>().map(|kind| kind.code());
     let outcome =
         refused.unwrap_or(if answer.status().is_success() { "answered" } else { "failed" });
-    state.metrics.ended(outcome);
+    state.metrics.count_request(outcome);
     let took = state.now().since(arrived);
     if answer.status().is_success() {
         return state.metrics.first_part.observe(took.as_secs_f64());
     }
-    if state.lines.allows(state.now()) {
+    if state.log_budget.allows(state.now()) {
         let view = state.table.borrow().version();
         log::info!(
             request = id.and_then(|id| id.to_str().ok()).unwrap_or(""),
@@ -72,13 +72,13 @@
             ms = u64::try_from(took.as_millis()).unwrap_or(u64::MAX),
             plan = state.held_plan(), lease_left_ms = state.lease_left_ms(),
             view_term = view.term.0, view = view.number;
-            "a request is not served"
+            "request refused or failed"
         );
     }
 }
 
-/// Admits a request: rule, key, body, service.
-async fn take(
+/// Admits a request: checks the rule, API key, body and quarantine, and picks a service.
+async fn admit(
     state: &Rc<EntryState>,
     parts: Parts,
     body: Incoming,
@@ -86,7 +86,7 @@
     let arrived = state.now();
     let head = CallerHead::read(&parts);
     let deadline = head.deadline.unwrap_or(DEFAULT_DEADLINE);
-    let book = state.book_soon(deadline).await.ok_or(RefusalKind::NotInTouch)?;
+    let book = state.wait_for_book(deadline).await.ok_or(RefusalKind::RulesUnconfirmed)?;
     let limits = &book.plan().limits;
     if head_bytes(&parts) > limits.max_head_bytes {
         return Err(RefusalKind::HeadTooLarge);
@@ -96,9 +96,9 @@
     let body = read_body(body, limits.max_body_bytes).await?;
     let priority = team.as_ref().and_then(|(_, priority)| *priority).or(Some(rule.priority));
     let team = team.map(|(team, _)| team);
-    let print = OnceCell::new();
+    let fingerprint = OnceCell::new();
     let standing = state.standing(|| {
-        *print.get_or_init(|| request_print(state, &parts, &head, team.as_ref(), &body))
+        *fingerprint.get_or_init(|| request_fingerprint(state, &parts, &head, team.as_ref(), &body))
     });
     if standing == PrintStanding::Quarantined {
         return Err(RefusalKind::Quarantined);
@@ -106,14 +106,14 @@
     let service = state.table.borrow_mut().pick_service(&rule).ok_or(RefusalKind::NoReplica)?;
     state.count_request(&service);
     state.count_demand(&book, &service, &head, &rule);
-    state.replica_soon(&service, head.model.as_deref(), deadline).await;
+    state.wait_for_replica(&service, head.model.as_deref(), deadline).await;
     let patience = deadline.min(rule.timeout);
     let idle_connections = idle_connections(state, &book, &service);
     Ok(ServedRequest {
         idle_connections,
         state: Rc::clone(state),
         arrived,
-        until: arrived.after(patience),
+        deadline: arrived.after(patience),
         book,
         rule,
         service,
@@ -125,30 +125,30 @@
         chosen: Rc::default(),
         tried: Vec::new(),
         sent_to: None,
-        print,
+        fingerprint,
         runs: 0,
     })
 }
 
-/// Bytes of request line and headers, with the signs between names and values.
+/// Size of the request line and headers, in bytes, including separators.
 fn head_bytes(parts: &Parts) -> usize {
-    const BETWEEN: usize = 4;
+    const SEPARATOR_BYTES: usize = 4;
     let line = parts.method.as_str().len() + parts.uri.to_string().len();
     let header = |(name, value): (&HeaderName, &HeaderValue)| {
-        name.as_str().len() + value.as_bytes().len() + BETWEEN
+        name.as_str().len() + value.as_bytes().len() + SEPARATOR_BYTES
     };
     line + parts.headers.iter().map(header).sum::<usize>()
 }
 
-/// Idle connections to keep to one endpoint of `service`: this entry's part of half of those that
-/// the endpoint accepts, so that new ones find room.
+/// Number of idle connections to keep per endpoint of `service`: this entry's share of half of the
+/// connections that the endpoint accepts, which leaves room for new ones.
 fn idle_connections(state: &EntryState, book: &RouteBook, service: &ServiceName) -> usize {
     let accepted = book.service(service).map_or(0, |spec| spec.max_connections as usize);
     let entries = state.table.borrow().entries().max(1);
-    (accepted / entries / 2).clamp(1, MAX_IDLE)
+    (accepted / entries / 2).clamp(1, MAX_IDLE_CONNECTIONS)
 }
 
-/// The team of the caller, where a key is needed.
+/// The caller's team and priority, if the rule requires an API key.
 fn check_key(
     book: &RouteBook,
     rule: &RouteRule,
@@ -165,9 +165,9 @@
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, RefusalKind> {
     match Limited::new(body, limit).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(RefusalKind::TooLarge),
+        Err(error) if error.is::<LengthLimitError>() => Err(RefusalKind::BodyTooLarge),
         Err(error) => {
-            log::debug!("a body did not arrive: {error}");
+            log::debug!("failed to read request body: {error}");
             Err(RefusalKind::BadBody)
         }
     }
