--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread knows and shares between requests.
+//! State that the traffic thread shares between requests.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,12 +22,12 @@
 use tokio::sync::Notify;
 
 use super::crash_check::BrokenRun;
-use super::journal::{EntryMetrics, LineBudget};
+use super::telemetry::{EntryMetrics, LogBudget};
 use crate::settings::GatewaySettings;
-use crate::stored::read_stored;
+use crate::stored_plan::read_stored_plan;
 use briartray_http::ConnectionPool;
 
-/// Everything that requests share; one thread uses it.
+/// State shared by all requests; used by a single thread.
 pub(super) struct EntryState {
     pub(super) settings: GatewaySettings,
     clock: ClockReader,
@@ -36,71 +36,71 @@
     lease: RefCell<EntryLease>,
     budget: RefCell<RetryBudget>,
     pub(super) pool: RefCell<ConnectionPool>,
-    print_key: PrintKey,
-    prints: RefCell<PrintGuard>,
-    /// Runs that tell something about their requests.
-    pub(super) runs: RefCell<EvidenceLog>,
-    /// Requests whose connections broke, by endpoint, while it is found out whether that crashed.
-    pub(super) broken: RefCell<SortedTable<IncarnationId, Vec<BrokenRun>>>,
-    /// Told at every look while something of this entry waits on a target that does not answer.
-    pub(super) silence: Notify,
-    /// Told whenever news of the leader came.
-    news: Notify,
+    fingerprint_key: PrintKey,
+    quarantine_guard: RefCell<PrintGuard>,
+    /// Runs that ended in a crash, and completed runs of suspected requests; reported to the leader.
+    pub(super) evidence_log: RefCell<EvidenceLog>,
+    /// Requests whose connections broke, by endpoint, while a crash check is running.
+    pub(super) broken_runs: RefCell<SortedTable<IncarnationId, Vec<BrokenRun>>>,
+    /// Notified at each housekeeping pass while a request waits for a silent target.
+    pub(super) silence_notify: Notify,
+    /// Notified after each notice from the leader.
+    notice_notify: Notify,
     startup_wait: StartupWait,
-    reports: Sender<EntryReport>,
+    report_sender: Sender<EntryReport>,
     demand: RefCell<SortedTable<(ServiceName, String), WorkSum>>,
-    /// Reports in a row without an answer.
-    unanswered: Cell<u32>,
+    /// Consecutive reports without a confirmation.
+    unconfirmed_reports: Cell<u32>,
     draining: Cell<bool>,
     serving: Cell<bool>,
     running: Cell<usize>,
-    pub(super) lines: LineBudget,
+    pub(super) log_budget: LogBudget,
     pub(super) metrics: EntryMetrics,
 }
 
-/// The parts of an entry's state that can cross threads.
+/// The parts of an entry's state that can be sent to another thread.
 pub(super) struct StateBuilder {
     settings: GatewaySettings,
-    reports: Sender<EntryReport>,
+    report_sender: Sender<EntryReport>,
     metrics: EntryMetrics,
 }
 
 impl StateBuilder {
-    /// The state, on the thread that will use it.
+    /// Builds the state on the thread that uses it.
     pub(super) fn build(self) -> EntryState {
-        let Self { settings, reports, metrics } = self;
+        let Self { settings, report_sender, metrics } = self;
         let limits = &settings.limits;
         let budget =
             RetryBudget::new(limits.retry_ratio, limits.retry_allowance, limits.retry_window());
         let clock = ClockReader::start();
         EntryState {
             startup_wait: StartupWait::new(clock.now()),
-            news: Notify::new(),
+            notice_notify: Notify::new(),
             clock,
             book: RefCell::new(None),
             table: RefCell::new(TargetTable::new(settings.zone.clone(), rand::random())),
             lease: RefCell::new(EntryLease::new(limits.lease_bound())),
             budget: RefCell::new(budget),
             pool: RefCell::new(ConnectionPool::default()),
-            print_key: PrintKey::new(&settings.link_token),
-            prints: RefCell::default(),
-            runs: RefCell::default(),
-            broken: RefCell::default(),
-            silence: Notify::new(),
-            reports,
+            fingerprint_key: PrintKey::new(&settings.link_token),
+            quarantine_guard: RefCell::default(),
+            evidence_log: RefCell::default(),
+            broken_runs: RefCell::default(),
+            silence_notify: Notify::new(),
+            report_sender,
             demand: RefCell::default(),
-            unanswered: Cell::new(0),
+            unconfirmed_reports: Cell::new(0),
             draining: Cell::new(false),
             serving: Cell::new(false),
             running: Cell::new(0),
-            lines: LineBudget::default(),
+            log_budget: LogBudget::default(),
             metrics,
             settings,
         }
     }
 }
 
-/// Counts one request for as long as it runs.
+/// Counts a request as running until dropped.
 pub(super) struct RunningGuard(Rc<EntryState>);
 
 impl Drop for RunningGuard {
@@ -113,64 +113,66 @@
 impl EntryState {
     pub(super) fn builder(
         settings: GatewaySettings,
-        reports: Sender<EntryReport>,
+        report_sender: Sender<EntryReport>,
         metrics: EntryMetrics,
     ) -> StateBuilder {
-        StateBuilder { settings, reports, metrics }
+        StateBuilder { settings, report_sender, metrics }
     }
 
     pub(super) fn now(&self) -> TimePoint {
         self.clock.now()
     }
 
-    /// Rules to decide a request by; `None` while they cannot be known to be in force.
+    /// The rules by which to route a request; `None` unless a valid lease confirms that they are in
+    /// force.
     pub(super) fn book(&self) -> Option<Rc<RouteBook>> {
         let fresh = self.now() < self.lease.borrow().until();
         self.book.borrow().clone().filter(|_| fresh)
     }
 
-    /// As [`Self::book`]; a process that has just started waits a moment until it is in touch, as
-    /// long as `patience` of the caller allows.
-    pub(super) async fn book_soon(&self, patience: Duration) -> Option<Rc<RouteBook>> {
-        self.wait_for(patience, || self.is_in_touch()).await;
+    /// As [`Self::book`]. Shortly after the start it waits until the rules and targets are known,
+    /// for up to `patience`.
+    pub(super) async fn wait_for_book(&self, patience: Duration) -> Option<Rc<RouteBook>> {
+        self.wait_at_startup(patience, || self.has_routing_state()).await;
         self.book()
     }
 
-    /// A process that has just started waits a moment until something serves what is asked for.
+    /// Shortly after the start, waits until a target serves `service` and `model`.
     ///
-    /// After a stop of everything the first news names plain endpoints, and no group before its first
-    /// host has answered the new leader. Requests for models were refused for half a second, by every
-    /// entry, while their groups worked.
-    pub(super) async fn replica_soon(
+    /// After a restart of the whole deployment, the first notice lists plain endpoints but no
+    /// group whose first host has not yet answered the new leader. Without this wait every entry
+    /// refused requests for models for half a second although their groups were working.
+    pub(super) async fn wait_for_replica(
         &self,
         service: &ServiceName,
         model: Option<&str>,
         patience: Duration,
     ) {
-        self.wait_for(patience, || self.table.borrow().serves(service, model)).await;
+        self.wait_at_startup(patience, || self.table.borrow().serves(service, model)).await;
     }
 
-    /// Waits for news until `met`, as long as a start excuses; whether it came is for the caller to see.
-    async fn wait_for(&self, patience: Duration, met: impl Fn() -> bool) {
+    /// Waits for notices until `met` holds, at most as long as the startup wait allows. Callers
+    /// check the condition again.
+    async fn wait_at_startup(&self, patience: Duration, met: impl Fn() -> bool) {
         if met() {
             return;
         }
         let limit = self.startup_wait.patience(self.now(), patience);
         let waited = async {
             while !met() {
-                self.news.notified().await;
+                self.notice_notify.notified().await;
             }
         };
         let _ = tokio::time::timeout(limit, waited).await;
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the load balancer should send callers to this entry.
     pub(super) fn is_ready(&self) -> bool {
-        !self.draining.get() && self.is_in_touch()
+        !self.draining.get() && self.has_routing_state()
     }
 
-    /// Whether the rules in force are known, and where requests may go.
-    fn is_in_touch(&self) -> bool {
+    /// Whether the rules in force and at least one target are known.
+    fn has_routing_state(&self) -> bool {
         self.book().is_some() && !self.table.borrow().is_empty()
     }
 
@@ -186,7 +188,7 @@
         self.running.get()
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as running until the guard is dropped.
     pub(super) fn begin_request(self: &Rc<Self>) -> RunningGuard {
         self.serving.set(true);
         self.running.set(self.running.get() + 1);
@@ -194,7 +196,7 @@
         RunningGuard(Rc::clone(self))
     }
 
-    /// Counts a request against the budget for repeats.
+    /// Counts a request in the retry budget.
     pub(super) fn count_request(&self, service: &ServiceName) {
         self.budget.borrow_mut().request(self.now(), service);
     }
@@ -205,38 +207,38 @@
         u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Version of the declaration that is held, whether or not it may be used.
+    /// Version of the deployment plan held, even if the lease has expired; 0 if there is none.
     pub(super) fn held_plan(&self) -> u64 {
         self.book.borrow().as_ref().map_or(0, |book| book.version())
     }
 
-    /// Takes one repeat out of the budget.
-    pub(super) fn take_repeat(&self, service: &ServiceName) -> bool {
+    /// Takes one retry from the budget; `false` if the budget is exhausted.
+    pub(super) fn take_retry(&self, service: &ServiceName) -> bool {
         let entries = self.table.borrow().entries();
         self.budget.borrow_mut().take(self.now(), service, entries)
     }
 
-    pub(super) fn keep_house(&self) {
+    pub(super) fn housekeeping_pass(&self) {
         let now = self.now();
         let silent = self.table.borrow_mut().find_silent(now);
         if !silent.is_empty() {
             for group in &silent {
-                log::warn!(group = group.0; "a group gives no sign of life and is left alone");
+                log::warn!(group = group.0; "group is silent; sending it no more requests");
             }
             self.send_report();
         }
         if self.table.borrow().waits_on_silent(now) {
-            self.silence.notify_waiters();
+            self.silence_notify.notify_waiters();
         }
         self.pool.borrow_mut().prune(now);
     }
 
-    /// Tells the leader what was seen, and asks for a longer lease.
+    /// Sends a report to the leader, which also requests a lease renewal.
     pub(super) fn send_report(&self) {
         let now = self.now();
-        self.unanswered.set(self.unanswered.get().saturating_add(1));
+        self.unconfirmed_reports.set(self.unconfirmed_reports.get().saturating_add(1));
         let mut table = self.table.borrow_mut();
-        let runs = self.runs.borrow().events_to_report(now);
+        let runs = self.evidence_log.borrow().events_to_report(now);
         let nonce = self.lease.borrow_mut().ask(now);
         let limits = table.limits().report(now, nonce);
         let report = EntryReport {
@@ -248,15 +250,15 @@
             pulses: table.pulses(now),
             demand: self.take_demand(),
             serving: self.serving.get(),
-            prints: self.prints.borrow().version(),
+            prints: self.quarantine_guard.borrow().version(),
             runs,
             limits,
         };
-        // A report that finds no room is made up for by the next one.
-        let _ = self.reports.try_send(report);
+        // If the queue is full, the report is dropped; the next one makes up for it.
+        let _ = self.report_sender.try_send(report);
     }
 
-    /// Counts what a request under `rule` asks of a model.
+    /// Adds the work that a request under `rule` asks of a model to the reported demand.
     pub(super) fn count_demand(
         &self,
         book: &RouteBook,
@@ -268,7 +270,7 @@
         let engine = book.service(service).and_then(|spec| spec.engine.as_ref());
         let Some(engine) = engine else { return };
         let Some(spec) = engine.model(model) else { return };
-        // The most that a caller allows says little: it is three times the usual answer.
+        // The caller's token limit is a poor estimate: it is three times the usual response length.
         let answer = head.answer_guess.unwrap_or(engine.usual_answer);
         let reading = engine.read_ms(tokens.prompt) * spec.pace;
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
@@ -287,16 +289,16 @@
 
     fn take_demand(&self) -> Vec<ModelDemand> {
         let counted = std::mem::take(&mut *self.demand.borrow_mut());
-        let tell = |((service, model), sum): (&(ServiceName, String), &WorkSum)| ModelDemand {
+        let demand_of = |((service, model), sum): (&(ServiceName, String), &WorkSum)| ModelDemand {
             service: service.clone(),
             model: model.clone(),
             sum: *sum,
         };
-        counted.iter().map(tell).collect()
+        counted.iter().map(demand_of).collect()
     }
 
-    /// Takes what the leader tells.
-    pub(super) fn adopt(&self, notice: EntryNotice) {
+    /// Applies a notice from the leader.
+    pub(super) fn apply_notice(&self, notice: EntryNotice) {
         if let Some(plan) = notice.plan {
             self.adopt_plan(&plan);
         }
@@ -307,97 +309,101 @@
         if let Some(update) = notice.view {
             let (term, number) = (update.version.term.0, update.version.number);
             let (whole, groups) = (update.base.is_none(), update.groups.len());
-            log::debug!(term, number, whole, groups; "an update of the view came");
+            log::debug!(term, number, whole, groups; "received view update");
             table.update(self.now(), update);
         }
         table.take_loads(self.now(), &notice.loads);
         if let Some(prints) = notice.prints {
-            self.adopt_prints(prints);
+            self.adopt_quarantine(prints);
         }
-        // The lease comes last: it confirms what was told with it.
+        // The lease is renewed last: it confirms the state sent with it.
         if let Some(nonce) = notice.nonce {
             table.limits().grant(self.now(), nonce, &notice.limits);
             let limited = table.limits().limited(self.now());
             self.metrics.limited.set(i64::try_from(limited).unwrap_or(i64::MAX));
-            self.unanswered.set(0);
-            self.runs.borrow_mut().confirmed(nonce);
+            self.unconfirmed_reports.set(0);
+            self.evidence_log.borrow_mut().confirmed(nonce);
             let left = self.lease.borrow_mut().grant(nonce).since(self.now());
             self.metrics.lease_left.set(i64::try_from(left.as_millis()).unwrap_or(i64::MAX));
         }
         drop(table);
-        self.news.notify_waiters();
+        self.notice_notify.notify_waiters();
     }
 
-    fn adopt_prints(&self, view: PrintView) {
+    fn adopt_quarantine(&self, view: PrintView) {
         let (quarantined, suspects) = (view.quarantined.len(), view.suspects.len());
-        if quarantined + suspects > 0 || self.prints.borrow().is_watching() {
-            log::info!(quarantined, suspects; "the quarantine has changed");
+        if quarantined + suspects > 0 || self.quarantine_guard.borrow().is_watching() {
+            log::info!(quarantined, suspects; "quarantine changed");
         }
         self.metrics.quarantined.set(i64::try_from(quarantined).unwrap_or(i64::MAX));
-        for print in self.prints.borrow_mut().adopt(view) {
-            self.runs.borrow_mut().forget(print);
+        for fingerprint in self.quarantine_guard.borrow_mut().adopt(view) {
+            self.evidence_log.borrow_mut().forget(fingerprint);
         }
     }
 
-    /// Takes what an answer of `endpoint` says of its limit.
-    pub(super) fn hear_limit(&self, endpoint: Option<&IncarnationId>, word: LimitWord) {
+    /// Records the rate limit that `endpoint` stated in a response.
+    pub(super) fn record_limit(&self, endpoint: Option<&IncarnationId>, word: LimitWord) {
         let Some(endpoint) = endpoint else { return };
         let changed = self.table.borrow_mut().limits().hear(self.now(), endpoint, word);
         if changed {
-            log::info!(endpoint:% = endpoint; "an endpoint names another limit: {word:?}");
+            log::info!(endpoint:% = endpoint;
+                "endpoint changed its rate limit to {word:?}; reporting to the leader");
             self.send_report();
         }
     }
 
-    /// Another leader may answer from now on: it has to be told of all runs that are kept.
+    /// The next response may come from a new leader, so all kept runs have to be reported again.
     pub(super) fn begin_leader(&self) {
         let nonce = self.lease.borrow().last_nonce();
-        self.runs.borrow_mut().begin_leader(nonce);
+        self.evidence_log.borrow_mut().begin_leader(nonce);
     }
 
-    /// What `parts` identify.
-    pub(super) fn print(&self, parts: &PrintParts<'_>) -> RequestPrint {
-        self.print_key.print(parts)
+    /// Computes the fingerprint of a request from `parts`.
+    pub(super) fn fingerprint(&self, parts: &PrintParts<'_>) -> RequestPrint {
+        self.fingerprint_key.print(parts)
     }
 
-    /// How the request that `print` makes the print of stands.
-    pub(super) fn standing(&self, print: impl FnOnce() -> RequestPrint) -> PrintStanding {
-        let prints = self.prints.borrow();
-        // Prints cost a pass over the body, and are wanted only in times of crashes.
-        if prints.is_watching() { prints.standing(print()) } else { PrintStanding::Clear }
+    /// Quarantine status of a request; `compute` returns its fingerprint.
+    pub(super) fn standing(&self, compute: impl FnOnce() -> RequestPrint) -> PrintStanding {
+        let guard = self.quarantine_guard.borrow();
+        // A fingerprint needs a pass over the body, so it is computed only after crashes.
+        if guard.is_watching() { guard.standing(compute()) } else { PrintStanding::Clear }
     }
 
-    fn adopt_plan(&self, stored: &StoredPlan) {
-        let version = stored.version;
-        // A leader that is behind must not bring back what was replaced.
+    fn adopt_plan(&self, stored_plan: &StoredPlan) {
+        let version = stored_plan.version;
+        // A lagging leader must not bring back a replaced deployment plan.
         if self.book.borrow().as_ref().is_some_and(|book| book.version() >= version) {
             return;
         }
-        match read_stored(stored) {
+        match read_stored_plan(stored_plan) {
             Ok(plan) => {
-                log::info!(version, routes = plan.routes.len(); "a declaration is in force here");
+                log::info!(version, routes = plan.routes.len(); "applied new deployment plan");
                 self.metrics.plan.set(i64::try_from(version).unwrap_or(i64::MAX));
                 *self.book.borrow_mut() = Some(Rc::new(RouteBook::compile(plan)));
             }
-            Err(error) => log::error!(version; "an accepted declaration does not read: {error}"),
+            Err(error) => {
+                log::error!(version;
+                    "cannot decode accepted deployment plan; keeping the previous one: {error}")
+            }
         }
     }
 
-    /// The address of an endpoint, when it is one.
+    /// Parses an endpoint's address; `None` if it is not an IP address and port.
     pub(super) fn parse_address(text: &str) -> Option<SocketAddr> {
         text.parse().ok()
     }
 
-    /// Time between two reports to the leader.
-    pub(super) fn report_pause(&self) -> Duration {
-        match self.is_in_touch() {
+    /// Interval until the next report to the leader.
+    pub(super) fn next_report_pause(&self) -> Duration {
+        match self.has_routing_state() {
             true => report_pause(self.table.borrow().entries()),
-            false => ask_pause(self.unanswered.get()),
+            false => ask_pause(self.unconfirmed_reports.get()),
         }
     }
 }
 
-/// Names of control hosts, without repetition.
+/// Adds hosts to `known` without duplicates.
 pub(super) fn merge_hosts(known: &mut Vec<NodeName>, more: Vec<NodeName>) {
     for host in more {
         if !known.contains(&host) {
--- a/crates/gateway/src/entry/stream_clock.rs
+++ b/crates/gateway/src/entry/stream_clock.rs
@@ -1,4 +1,4 @@
-//! Whether a stream keeps the times that its rule names, and what is written when it does not.
+//! Checks whether a stream met its rule's latency targets, and logs violations.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use super::dispatch::ServedRequest;
 
-/// Why a stream counts as late.
+/// Reason why a stream counts as late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LateCause {
-    /// Its first event came after the rule's target.
+    /// The first event came later than the rule's target latency.
     FirstEvent,
-    /// Two events lay further apart than the rule's target.
+    /// The gap between two events exceeded the rule's target gap.
     Pause,
 }
 
 impl LateCause {
-    /// A stable word for scripts.
+    /// Stable code for metrics and logs.
     pub(super) fn code(self) -> &'static str {
         match self {
             Self::FirstEvent => "first_event",
@@ -26,49 +26,49 @@
     }
 }
 
-/// Times of one stream.
+/// Timing of one stream.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StreamClock {
     arrived: TimePoint,
     last: Option<TimePoint>,
-    first: Duration,
-    pause: Duration,
+    first_latency: Duration,
+    longest_pause: Duration,
 }
 
 impl StreamClock {
-    /// A clock for a request that arrived at `arrived`.
+    /// Starts timing a request that arrived at `arrived`.
     pub(super) fn new(arrived: TimePoint) -> Self {
-        Self { arrived, last: None, first: Duration::ZERO, pause: Duration::ZERO }
+        Self { arrived, last: None, first_latency: Duration::ZERO, longest_pause: Duration::ZERO }
     }
 
-    /// An event is passed on.
-    pub(super) fn event(&mut self, now: TimePoint) {
+    /// Records that an event is forwarded.
+    pub(super) fn record_event(&mut self, now: TimePoint) {
         match self.last.replace(now) {
-            None => self.first = now.since(self.arrived),
-            Some(last) => self.pause = self.pause.max(now.since(last)),
+            None => self.first_latency = now.since(self.arrived),
+            Some(last) => self.longest_pause = self.longest_pause.max(now.since(last)),
         }
     }
 
-    /// Why the stream is late under `rule`, if it is.
-    pub(super) fn late(&self, rule: &RouteRule) -> Option<LateCause> {
+    /// Reason why the stream is late under `rule`; `None` if it is on time.
+    pub(super) fn late_cause(&self, rule: &RouteRule) -> Option<LateCause> {
         self.last?;
-        if self.first > rule.target_latency {
+        if self.first_latency > rule.target_latency {
             return Some(LateCause::FirstEvent);
         }
-        rule.target_gap.is_some_and(|gap| self.pause > gap).then_some(LateCause::Pause)
+        rule.target_gap.is_some_and(|gap| self.longest_pause > gap).then_some(LateCause::Pause)
     }
 
-    /// Counts a stream that has ended, and writes a line when it was late.
-    pub(super) fn note(&self, request: &ServedRequest) {
-        let Some(cause) = self.late(&request.rule) else { return };
+    /// Counts and logs a finished stream if it was late.
+    pub(super) fn log_if_late(&self, request: &ServedRequest) {
+        let Some(cause) = self.late_cause(&request.rule) else { return };
         let state = &request.state;
-        state.metrics.late(cause.code());
-        if state.lines.allows(state.now()) {
+        state.metrics.count_late_stream(cause.code());
+        if state.log_budget.allows(state.now()) {
             log::info!(
-                request = request.id(), cause = cause.code(),
+                request = request.request_id(), cause = cause.code(),
                 rule = &*request.rule.name, sends = request.tried.len(),
-                first_ms = millis(self.first), pause_ms = millis(self.pause);
-                "an answer is late from {:?}", request.tried.last()
+                first_ms = millis(self.first_latency), pause_ms = millis(self.longest_pause);
+                "stream from target {:?} missed its latency target", request.tried.last()
             );
         }
     }
--- a/crates/gateway/src/entry/relay.rs
+++ b/crates/gateway/src/entry/stream_relay.rs
@@ -1,8 +1,9 @@
-//! Answers that are streams of events: passed on as they come, and resumed at another replica.
+//! Responses that are event streams: forwarded event by event, and resumed at another replica.
 //!
-//! The caller gets nothing before the first whole event, so a replica that dies before it costs
-//! no more than time. Afterwards the stream goes on at another replica behind the last event that
-//! was passed on, or it is cut off so that it does not look complete.
+//! The caller gets nothing before the first complete event, so a replica failure before that point
+//! only costs time. A later failure makes the stream resume at another replica after the last
+//! forwarded event. If that is impossible, the stream is cut off so that it does not appear
+//! complete.
 
 use std::pin::Pin;
 
@@ -15,69 +16,69 @@
 
 use super::crash_check;
 use super::dispatch::{AttemptFailure, LiveAnswer, ServedRequest};
-use super::plain::no_target;
 use super::refusal::{RefusalKind, refuse};
 use super::stream_clock::StreamClock;
+use super::whole_answer::refusal_without_target;
 use briartray_http::{AnswerBody, BodySender, StreamCut};
 
 /// A stream in progress.
 struct LiveStream {
     answer: LiveAnswer,
     cutter: EventCutter,
-    /// Fires when the request's time is over; one timer serves all events.
-    over: Pin<Box<Sleep>>,
+    /// Fires at the request's deadline; one timer serves all events of the stream.
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
-/// What came of waiting for the next event.
+/// Result of waiting for the next event.
 enum StreamStep {
     Event(StreamEvent),
-    /// The replica ended its answer as whole.
+    /// The replica completed its response.
     End,
-    /// It broke off, or nothing more is to be expected of it.
+    /// The connection broke, the deadline passed, or the target is considered failed.
     Broken,
 }
 
-/// Why there is no stream.
+/// Reason why no stream was opened.
 enum OpenFailure {
     Refused(RefusalKind),
-    /// The replica answered with something else than a stream.
+    /// The replica responded with an error instead of a stream.
     Other(Box<LiveAnswer>),
 }
 
-/// Serves `request` as a stream.
+/// Serves `request` as an event stream.
 pub(super) async fn serve(mut request: ServedRequest) -> Response<AnswerBody> {
     let last = request.head.last_event;
-    match open(&mut request, last).await {
+    match open_stream(&mut request, last).await {
         Ok((stream, first)) => {
-            let head = answer_head(&stream.answer.exchange.head);
+            let head = status_and_headers(&stream.answer.exchange.head);
             let (sender, body) = AnswerBody::parts();
             let last = first.as_ref().and_then(|event| event.id).or(last);
-            let position = Position { last, clock: StreamClock::new(request.arrived) };
-            tokio::task::spawn_local(pump(request, stream, first, position, sender));
+            let position = StreamPosition { last, clock: StreamClock::new(request.arrived) };
+            tokio::task::spawn_local(forward_stream(request, stream, first, position, sender));
             let mut response = Response::new(body);
             *response.status_mut() = head.0;
             *response.headers_mut() = head.1;
             response
         }
         Err(OpenFailure::Refused(kind)) => refuse(kind),
-        Err(OpenFailure::Other(answer)) => pass_other(&request, *answer).await,
+        Err(OpenFailure::Other(answer)) => forward_other_answer(&request, *answer).await,
     }
 }
 
-/// How far the caller has got.
-struct Position {
+/// Progress of the caller's stream.
+struct StreamPosition {
     last: Option<u64>,
     clock: StreamClock,
 }
 
-fn answer_head(head: &Parts) -> (http::StatusCode, http::HeaderMap) {
+fn status_and_headers(head: &Parts) -> (http::StatusCode, http::HeaderMap) {
     (head.status, answer_headers(&head.headers))
 }
 
-/// A failure of the replica's own, passed on as it is.
-async fn pass_other(request: &ServedRequest, answer: LiveAnswer) -> Response<AnswerBody> {
+/// Forwards a replica's error response unchanged.
+async fn forward_other_answer(request: &ServedRequest, answer: LiveAnswer) -> Response<AnswerBody> {
     let LiveAnswer { exchange, guard, .. } = answer;
-    let limit = request.left();
+    let limit = request.time_left();
     let whole = tokio::time::timeout(limit, exchange.whole()).await;
     drop(guard);
     match whole {
@@ -91,8 +92,8 @@
     }
 }
 
-/// Brings a stream to its first event; `None` for a stream that has no event.
-async fn open(
+/// Opens a stream and reads its first event; `None` if the stream is empty.
+async fn open_stream(
     request: &mut ServedRequest,
     last: Option<u64>,
 ) -> Result<(LiveStream, Option<StreamEvent>), OpenFailure> {
@@ -102,11 +103,12 @@
                 return Err(OpenFailure::Other(Box::new(answer)));
             }
             Ok(answer) => {
-                let over = Box::pin(tokio::time::sleep(request.left()));
-                let mut stream = LiveStream { answer, cutter: EventCutter::default(), over };
+                let deadline_timer = Box::pin(tokio::time::sleep(request.time_left()));
+                let mut stream =
+                    LiveStream { answer, cutter: EventCutter::default(), deadline_timer };
                 match next_step(request, &mut stream).await {
                     StreamStep::Event(event) if follows(last, event.id) => {
-                        stream.answer.guard.first_part();
+                        stream.answer.guard.note_first_part();
                         return Ok((stream, Some(event)));
                     }
                     StreamStep::End => return Ok((stream, None)),
@@ -118,22 +120,22 @@
             }
             Err(AttemptFailure::Ended(end)) => end,
             Err(AttemptFailure::NoTarget(refusal)) => {
-                return Err(OpenFailure::Refused(no_target(request, refusal)));
+                return Err(OpenFailure::Refused(refusal_without_target(request, refusal)));
             }
         };
         match request.next_move(end) {
             NextMove::SendAgain => {}
             NextMove::Refuse => return Err(OpenFailure::Refused(RefusalKind::NotRun)),
             NextMove::Unknown | NextMove::PassOn => {
-                let late = request.left().is_zero();
-                let kind = if late { RefusalKind::LateUnknown } else { RefusalKind::Unknown };
+                let late = request.time_left().is_zero();
+                let kind = if late { RefusalKind::TimedOut } else { RefusalKind::Unknown };
                 return Err(OpenFailure::Refused(kind));
             }
         }
     }
 }
 
-/// Whether an event may follow the last one that the caller has.
+/// Whether an event with `id` may follow the last event that the caller received.
 fn follows(last: Option<u64>, id: Option<u64>) -> bool {
     match (last, id) {
         (Some(last), Some(id)) => id == last + 1,
@@ -141,31 +143,31 @@
     }
 }
 
-/// Sends the request and waits for a head, until the target is given up.
+/// Sends the request and waits for a response head until the deadline.
 async fn attempt(
     request: &mut ServedRequest,
     last: Option<u64>,
 ) -> Result<LiveAnswer, AttemptFailure> {
-    let left = request.left();
-    let sending = tokio::time::timeout(left, until_given_up(request, last)).await;
-    sending.unwrap_or_else(|_| Err(request.ended(AttemptEnd::MayHaveRun)))
+    let left = request.time_left();
+    let sending = tokio::time::timeout(left, attempt_until_given_up(request, last)).await;
+    sending.unwrap_or_else(|_| Err(request.end_attempt(AttemptEnd::MayHaveRun)))
 }
 
-/// Waits for a head as long as the target may still be expected to send one.
-async fn until_given_up(
+/// Waits for a response head until the target is given up, if the request may be moved elsewhere.
+async fn attempt_until_given_up(
     request: &mut ServedRequest,
     last: Option<u64>,
 ) -> Result<LiveAnswer, AttemptFailure> {
     let state = std::rc::Rc::clone(&request.state);
-    let movable = request.rule.kind.may_repeat() && request.runs + 1 < request.rule.max_attempts;
+    let may_move = request.rule.kind.may_repeat() && request.runs + 1 < request.rule.max_attempts;
     let chosen = std::rc::Rc::clone(&request.chosen);
     let abandoned = async {
         loop {
-            state.silence.notified().await;
+            state.silence_notify.notified().await;
             let target = chosen.borrow().clone();
-            let lost =
+            let given_up =
                 target.is_some_and(|target| state.table.borrow().is_given_up(state.now(), &target));
-            if lost && movable {
+            if given_up && may_move {
                 return;
             }
         }
@@ -174,32 +176,32 @@
         outcome = request.attempt(last) => Some(outcome),
         () = abandoned => None,
     };
-    outcome.unwrap_or_else(|| Err(request.ended(AttemptEnd::MayHaveRun)))
+    outcome.unwrap_or_else(|| Err(request.end_attempt(AttemptEnd::MayHaveRun)))
 }
 
-/// The next whole event of `stream`.
+/// Waits for the next complete event of `stream`.
 ///
-/// It is woken when a target goes silent and does not look by itself: a timer for each stream costs an entry
-/// a good part of the processor time that it spends on streams.
+/// A notification wakes it when a target is silent. Polling with a timer for each stream would use
+/// a large share of the processor time that an entry spends on streams.
 async fn next_step(request: &ServedRequest, stream: &mut LiveStream) -> StreamStep {
     loop {
         if let Some(event) = stream.cutter.next_event() {
             return StreamStep::Event(event);
         }
-        let LiveStream { answer, cutter, over } = &mut *stream;
+        let LiveStream { answer, cutter, deadline_timer } = &mut *stream;
         let read = tokio::select! {
             read = answer.exchange.next_bytes() => read,
-            () = request.state.silence.notified() => {
-                if answer.guard.is_given_up() && can_move(request) {
+            () = request.state.silence_notify.notified() => {
+                if answer.guard.is_given_up() && can_resume(request) {
                     return StreamStep::Broken;
                 }
                 continue;
             }
-            () = over.as_mut() => return StreamStep::Broken,
+            () = deadline_timer.as_mut() => return StreamStep::Broken,
         };
         match read {
             Ok(Some(bytes)) => {
-                answer.guard.moved();
+                answer.guard.note_progress();
                 if !cutter.push(&bytes) {
                     return StreamStep::Broken;
                 }
@@ -214,50 +216,53 @@
     }
 }
 
-/// Whether the stream could go on elsewhere.
-fn can_move(request: &ServedRequest) -> bool {
+/// Whether the stream could be resumed at another target.
+fn can_resume(request: &ServedRequest) -> bool {
     let sent = u32::try_from(request.tried.len()).unwrap_or(u32::MAX);
-    request.rule.kind.may_repeat() && sent < request.rule.max_attempts && request.choose().is_ok()
+    request.rule.kind.may_repeat()
+        && sent < request.rule.max_attempts
+        && request.choose_target().is_ok()
 }
 
-/// Passes events on until the stream is whole, cannot go on, or the caller has left.
-async fn pump(
+/// Forwards events until the stream is complete, cannot be resumed, or the caller disconnects.
+async fn forward_stream(
     mut request: ServedRequest,
     mut stream: LiveStream,
     first: Option<StreamEvent>,
-    mut position: Position,
+    mut position: StreamPosition,
     sender: BodySender,
 ) {
     let state = std::rc::Rc::clone(&request.state);
     let _running = state.begin_request();
-    let whole = {
-        let relayed = relay(&mut request, &mut stream, first, &mut position, &sender);
+    let complete = {
+        let forwarding = forward_events(&mut request, &mut stream, first, &mut position, &sender);
         tokio::select! {
-            whole = relayed => whole,
-            // The caller is gone: dropping the stream closes the replica's connection.
+            complete = forwarding => complete,
+            // The caller disconnected; dropping the stream closes the replica's connection.
             () = sender.closed() => return,
         }
     };
-    position.clock.note(&request);
-    if whole {
-        request.ran_whole();
-        stream.answer.release(&request);
+    position.clock.log_if_late(&request);
+    if complete {
+        request.record_complete_run();
+        stream.answer.release_connection(&request);
     } else {
         state.metrics.cut.inc();
-        if state.lines.allows(state.now()) {
+        if state.log_budget.allows(state.now()) {
             let after = position.last.unwrap_or(0);
-            log::warn!(request = request.id(), after; "a stream is cut off");
+            log::warn!(request = request.request_id(), after;
+                "stream cannot be resumed; cutting it off");
         }
         let _ = sender.send(Err(StreamCut)).await;
     }
 }
 
-/// Whether the stream was passed on to its end.
-async fn relay(
+/// Forwards events, resuming as needed; returns whether the stream was completed.
+async fn forward_events(
     request: &mut ServedRequest,
     stream: &mut LiveStream,
     first: Option<StreamEvent>,
-    position: &mut Position,
+    position: &mut StreamPosition,
     sender: &BodySender,
 ) -> bool {
     let mut next = first.map(StreamStep::Event);
@@ -269,7 +274,7 @@
         match step {
             StreamStep::Event(event) => {
                 position.last = event.id.or(position.last);
-                position.clock.event(request.state.now());
+                position.clock.record_event(request.state.now());
                 if sender.send(Ok(Bytes::from(event.bytes))).await.is_err() {
                     return false;
                 }
@@ -280,13 +285,14 @@
                 if request.next_move(AttemptEnd::MayHaveRun) != NextMove::SendAgain {
                     return false;
                 }
-                let Ok((resumed, event)) = open(request, position.last).await else {
+                let Ok((resumed, event)) = open_stream(request, position.last).await else {
                     return false;
                 };
                 request.state.metrics.resumed.inc();
-                if request.state.lines.allows(request.state.now()) {
+                if request.state.log_budget.allows(request.state.now()) {
                     let after = position.last.unwrap_or(0);
-                    log::info!(request = request.id(), after; "a stream goes on elsewhere");
+                    log::info!(request = request.request_id(), after;
+                        "resumed stream at another replica");
                 }
                 *stream = resumed;
                 match event {
--- a/crates/gateway/src/entry/journal.rs
+++ b/crates/gateway/src/entry/telemetry.rs
@@ -1,8 +1,9 @@
-//! What an entry writes and counts about requests, so that a failed one can be explained later.
+//! Metrics and rate-limited log lines about requests.
 //!
-//! Each decision that touches a request is one line with the request's id and what decided it. A
-//! line costs as much as passing on some events, and when thousands are refused they say the same,
-//! so there is a bound of lines a second; what is left out is counted and told.
+//! Each decision about a request is logged with the request ID and the reason. A line costs as much
+//! as forwarding several events, and thousands of refusals would produce thousands of similar
+//! lines, so the number of lines per second is limited. Dropped lines are counted, and their number
+//! is logged.
 
 use std::cell::Cell;
 
@@ -14,35 +15,35 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Lines about requests that one entry writes in a second; the rest is counted.
-const LINES_PER_SECOND: u32 = 40;
+/// Maximum number of request log lines per second on one entry.
+const LOG_LINES_PER_SECOND: u32 = 40;
 
-/// Shortest time with a bucket of its own, in seconds.
-const FIRST_BUCKET: f64 = 0.01;
+/// Upper bound of the first histogram bucket, in seconds.
+const FIRST_BUCKET_SECONDS: f64 = 0.01;
 
-/// Buckets of times; each is half as long again as the one before, up to 7 s.
-const TIME_BUCKETS: u16 = 17;
+/// Number of histogram buckets; each bound is 1.5 times the previous one, up to 7 s.
+const TIME_BUCKET_COUNT: u16 = 17;
 
-/// Bounds the lines about requests.
+/// Rate limit for log lines about requests.
 #[derive(Debug, Default)]
-pub(super) struct LineBudget {
+pub(super) struct LogBudget {
     second: Cell<u64>,
     written: Cell<u32>,
     left_out: Cell<u64>,
 }
 
-impl LineBudget {
-    /// Whether a line may be written at `now`.
+impl LogBudget {
+    /// Whether a line may be logged at `now`; counts the line.
     pub(super) fn allows(&self, now: TimePoint) -> bool {
         let second = now.0 / 1_000_000;
         if self.second.replace(second) != second {
             self.written.set(0);
             let left_out = self.left_out.take();
             if left_out > 0 {
-                log::info!(left_out; "lines about requests were left out");
+                log::info!(left_out; "log rate limit exceeded; dropped lines about requests");
             }
         }
-        if self.written.get() >= LINES_PER_SECOND {
+        if self.written.get() >= LOG_LINES_PER_SECOND {
             self.left_out.set(self.left_out.get() + 1);
             return false;
         }
@@ -51,36 +52,36 @@
     }
 }
 
-/// Counters and times of one entry.
+/// Metrics of one entry.
 #[derive(Debug, Clone)]
 pub(super) struct EntryMetrics {
     requests: Family<OutcomeLabel, Counter>,
     attempts: Family<OutcomeLabel, Counter>,
     late: Family<OutcomeLabel, Counter>,
-    /// Streams that went on at another replica.
+    /// Streams that were resumed at another replica.
     pub(super) resumed: Counter,
     /// Streams that were cut off.
     pub(super) cut: Counter,
-    /// Endpoints that crashed while requests of this entry ran there.
+    /// Endpoint crashes during requests of this entry.
     pub(super) crashes: Counter,
-    /// Endpoints that name a limit, as far as this entry knows.
+    /// Endpoints with a rate limit, as known to this entry.
     pub(super) limited: Gauge,
-    /// Requests in quarantine, as far as this entry knows.
+    /// Quarantined requests, as known to this entry.
     pub(super) quarantined: Gauge,
-    /// Time from a request's arrival to the first part of its answer.
+    /// Time from a request's arrival to the first part of its response, in seconds.
     pub(super) first_part: Histogram,
-    /// Version of the declaration in force here.
+    /// Version of the deployment plan in force on this entry.
     pub(super) plan: Gauge,
-    /// Time left of the lease at its last renewal, in milliseconds.
+    /// Time left of the lease after its last renewal, in milliseconds.
     pub(super) lease_left: Gauge,
     /// Requests in progress.
     pub(super) running: Gauge,
 }
 
 impl EntryMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub(super) fn register(registry: &mut Registry) -> Self {
-        let buckets = exponential_buckets(FIRST_BUCKET, 1.5, TIME_BUCKETS);
+        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, 1.5, TIME_BUCKET_COUNT);
         let metrics = Self {
             requests: Family::default(),
             attempts: Family::default(),
@@ -117,18 +118,18 @@
         metrics
     }
 
-    /// Counts one request that ended as `outcome`.
-    pub(super) fn ended(&self, outcome: &'static str) {
+    /// Counts a request that ended with `outcome`.
+    pub(super) fn count_request(&self, outcome: &'static str) {
         self.requests.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Counts one attempt that ended as `outcome`.
-    pub(super) fn attempt(&self, outcome: &'static str) {
+    /// Counts an attempt that ended with `outcome`.
+    pub(super) fn count_attempt(&self, outcome: &'static str) {
         self.attempts.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Counts one stream that was late because of `cause`.
-    pub(super) fn late(&self, cause: &'static str) {
+    /// Counts a stream that was late because of `cause`.
+    pub(super) fn count_late_stream(&self, cause: &'static str) {
         self.late.get_or_create(&OutcomeLabel { outcome: cause }).inc();
     }
 }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! One process from start to stop.
+//! Start, run and shutdown of one process.
 
 use std::path::Path;
 
@@ -17,56 +17,60 @@
 use crate::entry::EntryProcess;
 use crate::settings::{self, GatewaySettings, SettingsError};
 
-/// Why a process cannot run.
+/// Reason why a process cannot start or continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ProcessError {
     /// The settings cannot be used.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// Why.
+        /// Underlying error.
         source: SettingsError,
     },
-    /// A conversation with other processes cannot be set up.
+    /// Links to other processes cannot be set up.
     #[snafu(display("{source}"), context(false))]
     Link {
-        /// Why.
+        /// Underlying error.
         source: LinkError,
     },
     /// The data folder cannot be used.
     #[snafu(display("{source}"), context(false))]
     Storage {
-        /// Why.
+        /// Underlying error.
         source: StorageError,
     },
-    /// A role had to end.
+    /// A role failed while running.
     #[snafu(display("{source}"), context(false))]
     Role {
-        /// Why.
+        /// Underlying error.
         source: RoleFailure,
     },
-    /// A port, a thread or a signal cannot be had.
-    #[snafu(display("cannot set up {what}: {source}; check addresses and process limits"))]
+    /// A port, thread or signal handler cannot be set up.
+    #[snafu(display(
+        "cannot set up {what}: {source}; check the listen addresses and process limits"
+    ))]
     Setup {
-        /// What was to be set up.
+        /// The resource that could not be set up.
         what: &'static str,
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
 }
 
-/// Why a role that runs has to end. The platform starts the process again.
+/// Reason why a running role has to end. The service manager restarts the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum RoleFailure {
-    /// What was agreed on does not read.
-    #[snafu(display("agreed state does not read; run the same version on every control host"))]
+    /// A command or snapshot of the replicated log cannot be decoded.
+    #[snafu(display(
+        "cannot decode the replicated state; run the same version on every control host"
+    ))]
     State,
 }
 
-/// Runs the roles that the settings at `path` name, until the process is told to stop.
+/// Runs the roles configured in the settings file at `path` until a stop signal arrives.
 ///
 /// # Errors
-/// A `ProcessError` that names the remedy, when a role cannot start.
+/// A [`ProcessError`] if a role cannot start, or if the control role fails while running.
 pub fn run(path: &Path) -> Result<(), ProcessError> {
     let settings = settings::load(path)?;
     logs::start_on_output(&settings.log_level);
@@ -83,10 +87,10 @@
     };
     let never = crossbeam::channel::never();
     let failures = control.as_ref().map_or(&never, ControlProcess::failures);
-    let failure = wait_for_end(signals, failures, path, &settings)?;
-    let whole = entry.is_none_or(|entry| entry.drain(settings.limits.grace()));
-    if !whole {
-        log::warn!("requests were left when the time for a stop was over");
+    let failure = wait_for_shutdown(signals, failures, path, &settings)?;
+    let drained = entry.is_none_or(|entry| entry.drain(settings.limits.grace()));
+    if !drained {
+        log::warn!("grace period expired with requests still in progress; they are cut off");
     }
     if let Some(control) = control {
         control.stop();
@@ -95,45 +99,48 @@
     failure.map_or(Ok(()), |failure| Err(failure.into()))
 }
 
-/// Waits for a signal to stop, or for a role that cannot go on; on a hang-up the settings are
-/// looked at again.
-fn wait_for_end(
+/// Waits for SIGTERM or SIGINT, or for a role failure. SIGHUP reads the settings file again.
+fn wait_for_shutdown(
     mut signals: Signals,
     failures: &Receiver<RoleFailure>,
     path: &Path,
     settings: &GatewaySettings,
 ) -> Result<Option<RoleFailure>, ProcessError> {
-    let (told, queue) = unbounded();
-    let mut forward = move || signals.forever().try_for_each(|signal| told.send(signal));
+    let (sender, receiver) = unbounded();
+    let mut forward = move || signals.forever().try_for_each(|signal| sender.send(signal));
     spawn_worker("signals", WORKER_STACK_BYTES, move || {
-        // The channel is closed when the process ends anyway.
+        // Sending fails only during shutdown, after the receiver has been dropped.
         let _ = forward();
     })
-    .context(SetupSnafu { what: "the thread for signals" })?;
+    .context(SetupSnafu { what: "the signal thread" })?;
     loop {
         select! {
-            recv(queue) -> signal => match signal {
-                Ok(SIGHUP) => look_again(path, settings),
+            recv(receiver) -> signal => match signal {
+                Ok(SIGHUP) => recheck_settings(path, settings),
                 signal => {
-                    log::info!(signal = signal.unwrap_or_default(); "told to stop");
+                    log::info!(signal = signal.unwrap_or_default();
+                        "received stop signal; shutting down");
                     return Ok(None);
                 }
             },
             recv(failures) -> failure => {
                 let failure = failure.unwrap_or(RoleFailure::State);
-                log::error!("ending: {failure}");
+                log::error!("control role failed; shutting down: {failure}");
                 return Ok(Some(failure));
             },
         }
     }
 }
 
-fn look_again(path: &Path, settings: &GatewaySettings) {
+fn recheck_settings(path: &Path, settings: &GatewaySettings) {
     match settings::load(path) {
-        // Seeds matter at the start only: a running process knows its control hosts.
-        Ok(read) => {
-            log::info!(changed = read.seeds != settings.seeds; "settings read again");
+        // Seeds only matter at the start: a running process already knows the control hosts.
+        Ok(reloaded) => {
+            log::info!(changed = reloaded.seeds != settings.seeds;
+                "reloaded settings file; a running process applies no changes");
+        }
+        Err(error) => {
+            log::error!("cannot reload settings file; keeping the current settings: {error}")
         }
-        Err(error) => log::error!("settings stay as they are: {error}"),
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, in YAML.
+//! Settings of one process, read from a YAML file.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -8,23 +8,23 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 
-/// Why settings cannot be used.
+/// Reason why the settings cannot be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[snafu(display("cannot read settings {}: {source}; name an existing file", path.display()))]
+    #[snafu(display("cannot read settings file {}: {source}; check the path", path.display()))]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What the system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// A key is unknown, missing or has no usable value.
-    #[snafu(display("settings {}: {detail}; correct the file and start again", path.display()))]
+    /// The YAML is malformed, or a key is unknown, missing or has an invalid value.
+    #[snafu(display("invalid settings {}: {detail}; correct the file and restart", path.display()))]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// Parser message with the position of the error.
         detail: String,
     },
 }
@@ -33,87 +33,88 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Its host's address, by which other processes know it.
+    /// IP address of this host, which also serves as its name.
     pub node: IpAddr,
-    /// Its availability zone.
+    /// Availability zone of this host.
     pub zone: ZoneName,
-    /// Port for conversations between the system's own processes.
+    /// Port on which control hosts accept links from entries and other control hosts.
     pub link_port: u16,
-    /// Shared secret of those conversations.
+    /// Shared secret that authenticates links.
     pub link_token: String,
-    /// Addresses of some control hosts, on the port for operators and endpoints.
+    /// Addresses of some control hosts, with the port for operators and endpoints.
     pub seeds: Vec<SocketAddr>,
-    /// Where metrics are served; nowhere without it.
+    /// Listen address of the metrics endpoint; `None` serves no metrics.
     pub metrics: Option<SocketAddr>,
-    /// Filter of the log, as in `info,briartray_gateway=debug`.
+    /// Log filter, such as `info,briartray_gateway=debug`.
     #[serde(default = "default_level")]
     pub log_level: String,
-    /// The role of an entry.
+    /// Settings of the entry role; `None` if this host does not have the role.
     pub entry: Option<EntryRole>,
-    /// The role of a control host.
+    /// Settings of the control role; `None` if this host does not have the role.
     pub control: Option<ControlRole>,
-    /// Limits of the deployment.
+    /// Limits that apply to the whole deployment.
     pub limits: DeploymentLimits,
 }
 
-/// What an entry listens on.
+/// Settings of the entry role.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryRole {
-    /// For callers.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether it takes connections.
+    /// Listen address for the load balancer's readiness check.
     pub ready: SocketAddr,
 }
 
-/// What a control host needs.
+/// Settings of the control role.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlRole {
-    /// For operators and endpoints.
+    /// Listen address for operators and endpoints.
     pub listen: SocketAddr,
-    /// Folder for its state; a host without one passes calls on and does not vote.
+    /// Data folder for the replicated log. A host without one only relays and does not vote.
     pub data_folder: Option<PathBuf>,
     /// Whether the whole deployment starts for the first time, with empty disks.
     pub first_start: bool,
-    /// Voters that may be lost at one time.
+    /// Number of voters that may fail at the same time.
     pub losses: usize,
-    /// Zones that may be evacuated; where none is named, those that endpoints announced.
+    /// Zones that may be evacuated; if empty, the zones that endpoints have announced.
     #[serde(default)]
     pub zones: Vec<ZoneName>,
 }
 
-/// Limits of the deployment, in milliseconds where they are times.
+/// Limits of the deployment; durations are in milliseconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentLimits {
-    /// Time within which a removed key is refused everywhere.
+    /// Maximum time until every entry refuses a revoked key.
     pub revocation_ms: u64,
-    /// Time within which nothing more is sent to a zone that is evacuated; the time for keys where it is left out.
+    /// Maximum time until no entry sends requests to an evacuated zone; defaults to
+    /// `revocation_ms`.
     #[serde(default)]
     pub evacuation_ms: Option<u64>,
     /// Time between SIGTERM and the end of the process.
     pub grace_ms: u64,
-    /// Part of a service's requests that may be sent again.
+    /// Fraction of a service's requests that may be retried.
     pub retry_ratio: f64,
-    /// Requests that may be sent again beyond that, over all entries.
+    /// Additional retries per window, summed over all entries.
     pub retry_allowance: f64,
-    /// Window in which both are counted.
+    /// Length of the window over which requests and retries are counted.
     pub retry_window_ms: u64,
 }
 
 impl GatewaySettings {
-    /// The name by which other processes know this one's host.
+    /// Name of this host in links and messages: its IP address.
     pub fn node_name(&self) -> NodeName {
         NodeName::new(&self.node.to_string())
     }
 
-    /// Names of the control hosts that the settings know.
+    /// Names of the control hosts listed as seeds.
     pub fn seed_names(&self) -> Vec<NodeName> {
         self.seeds.iter().map(|seed| NodeName::new(&seed.ip().to_string())).collect()
     }
 
-    /// Where the control host called `node` listens for other processes.
+    /// Link address of the control host `node`; `None` if the name is not an IP address.
     pub fn link_address(&self, node: &NodeName) -> Option<SocketAddr> {
         let ip: IpAddr = node.as_str().parse().ok()?;
         Some(SocketAddr::new(ip, self.link_port))
@@ -121,7 +122,8 @@
 }
 
 impl DeploymentLimits {
-    /// Time for which an entry may act on what it knows: every change is in force everywhere by then.
+    /// Maximum time for which an entry may act on its current state without a lease renewal. Every
+    /// change is in force on all entries after this time.
     pub fn lease_bound(&self) -> Duration {
         let evacuation = self.evacuation_ms.unwrap_or(self.revocation_ms);
         Duration::from_millis(self.revocation_ms.min(evacuation))
@@ -132,16 +134,16 @@
         Duration::from_millis(self.grace_ms)
     }
 
-    /// Window in which repeats are counted.
+    /// Length of the window over which requests and retries are counted.
     pub fn retry_window(&self) -> Duration {
         Duration::from_millis(self.retry_window_ms)
     }
 }
 
-/// Reads settings from `path`.
+/// Reads the settings from the YAML file at `path`.
 ///
 /// # Errors
-/// A `SettingsError` that names the file and what is wrong.
+/// A [`SettingsError`] with the path and the cause.
 pub fn load(path: &Path) -> Result<GatewaySettings, SettingsError> {
     let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
     serde_saphyr::from_str(&text).map_err(|error| SettingsError::Invalid {
