--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -239,7 +239,7 @@
             ControlReply::NoPlan => {
                 error_response(StatusCode::NOT_FOUND, "nothing was declared yet")
             }
-            ControlReply::AskLeader(node) => {
+            ControlReply::RedirectToLeader(node) => {
                 let address = format!("{node}:{}", self.address.port());
                 redirect_to(&address, path).map(AnswerBody::whole)
             }
@@ -268,7 +268,7 @@
 fn reply_summary(reply: &ControlReply) -> &'static str {
     match reply {
         ControlReply::Done => "acknowledged",
-        ControlReply::AskLeader(_) => "redirected to the leader",
+        ControlReply::RedirectToLeader(_) => "redirected to the leader",
         ControlReply::Unavailable => "no majority",
         ControlReply::UnknownZone(_) => "unknown zone",
         ControlReply::Plan(_)
--- a/crates/gateway/src/control/core.rs
+++ b/crates/gateway/src/control/core.rs
@@ -277,7 +277,8 @@
 
     /// Redirects the sender of a call to the leader.
     pub(super) fn redirect(&self, reply: ReplySender) {
-        let answer = self.leader().map_or(ControlReply::Unavailable, ControlReply::AskLeader);
+        let answer =
+            self.leader().map_or(ControlReply::Unavailable, ControlReply::RedirectToLeader);
         let _ = reply.send(answer);
     }
 
@@ -300,7 +301,7 @@
             }
             CoreInput::Core(CoreMessage::Ask { asker, probes }) => self.probe_for(&asker, probes),
             CoreInput::Core(CoreMessage::Told(answers)) => {
-                answers.into_iter().for_each(|answer| self.receive_probe_result(now, answer));
+                answers.into_iter().for_each(|answer| self.receive_probe_answer(now, answer));
             }
             CoreInput::BatchStored { ticket } => {
                 if let Some(agreement) = &mut self.agreement {
@@ -327,7 +328,7 @@
                 self.receive_heartbeat(now, heartbeat, reply)
             }
             CoreInput::Leave { id, reply } => self.receive_leave(id, reply),
-            CoreInput::Probed { answer, asker: None } => self.receive_probe_result(now, answer),
+            CoreInput::Probed { answer, asker: None } => self.receive_probe_answer(now, answer),
             CoreInput::Probed { answer, asker: Some(asker) } => {
                 self.relay_buffer.buffer_answer(now, asker, answer);
             }
--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -1,5 +1,5 @@
-//! Handling of deployment plans from operators, and of heartbeats, leave notices, and probe and
-//! order results from endpoints.
+//! Handling of deployment plans from operators, and of heartbeats, leave notices, and answers to
+//! probes and orders from endpoints.
 
 use briartray_fleet::director::{EndpointBeat, OrderCall, OrderOutcome};
 use briartray_fleet::state::{FleetCommand, StoredPlan};
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Processes the result of a probe.
-    pub(super) fn receive_probe_result(&mut self, now: TimePoint, answer: ProbeAnswer) {
+    /// Processes the answer to a probe, or its absence.
+    pub(super) fn receive_probe_answer(&mut self, now: TimePoint, answer: ProbeAnswer) {
         let ProbeAnswer { id, result } = &answer;
         let Some(leadership) = &mut self.leadership else { return };
         match result {
--- a/crates/gateway/src/control/entry_session.rs
+++ b/crates/gateway/src/control/entry_session.rs
@@ -15,7 +15,7 @@
     /// Stream on which the last report arrived.
     pub(super) writer: LinkWriter,
     /// When the last report arrived.
-    pub(super) heard: TimePoint,
+    pub(super) heard_at: TimePoint,
     /// Version of the deployment plan that the entry holds or that was sent on this stream.
     pub(super) plan: Option<u64>,
     /// Version of the view that the entry holds or that was sent on this stream.
@@ -33,7 +33,15 @@
     pub(super) fn new(now: TimePoint, report: &EntryReport, writer: LinkWriter) -> Self {
         let (plan, view) = (report.plan, Some(report.view));
         let (settled, quarantine_version) = (report.settled, report.prints);
-        Self { writer, heard: now, plan, view, settled, quarantine_version, complete_view_at: None }
+        Self {
+            writer,
+            heard_at: now,
+            plan,
+            view,
+            settled,
+            quarantine_version,
+            complete_view_at: None,
+        }
     }
 
     /// Records what was sent on the stream.
@@ -50,7 +58,7 @@
 
     /// Records the state listed in a report.
     pub(super) fn record_report(&mut self, now: TimePoint, report: &EntryReport) {
-        self.heard = now;
+        self.heard_at = now;
         self.settled = report.settled;
         self.plan = self.plan.max(report.plan);
         let in_flight =
--- a/crates/gateway/src/control/entry_updates.rs
+++ b/crates/gateway/src/control/entry_updates.rs
@@ -51,7 +51,7 @@
         let newest = plan.map(|plan| plan.version);
         let plan_bytes = plan.map_or(0, StoredPlan::packed_len);
         let Some(leadership) = &mut self.leadership else { return };
-        leadership.entries.retain(|_, entry| now.since(entry.heard) < ENTRY_GONE);
+        leadership.entries.retain(|_, entry| now.since(entry.heard_at) < ENTRY_GONE);
         let mut encoded = SortedTable::new();
         for entry in leadership.entries.values_mut() {
             let lacks_plan = entry.plan < newest && leadership.pacer.may_send(now, plan_bytes);
--- a/crates/gateway/src/control/host_book.rs
+++ b/crates/gateway/src/control/host_book.rs
@@ -30,7 +30,7 @@
     /// Its most recent hello.
     pub(super) hello: Option<HostHello>,
     /// When it was last heard from, directly or through another host.
-    pub(super) heard: TimePoint,
+    pub(super) heard_at: TimePoint,
 }
 
 /// The control hosts known to this one.
@@ -53,7 +53,7 @@
         let seeds: Vec<NodeName> =
             settings.seed_names().into_iter().filter(|seed| *seed != own).collect();
         let known = |seed: &NodeName| {
-            (seed.clone(), KnownHost { hello: None, heard: TimePoint::default() })
+            (seed.clone(), KnownHost { hello: None, heard_at: TimePoint::default() })
         };
         Self {
             own,
@@ -88,7 +88,7 @@
     /// Records a hello, the hosts it lists and its leader hint.
     pub(super) fn receive_hello(&mut self, now: TimePoint, hello: HostHello) {
         for node in hello.known.iter().filter(|node| **node != self.own) {
-            let fresh = || KnownHost { hello: None, heard: now };
+            let fresh = || KnownHost { hello: None, heard_at: now };
             self.hosts.get_or_insert_with(node.clone(), fresh);
         }
         if let Some(LeaderHint { term, node }) = hello.leader.clone() {
@@ -103,14 +103,14 @@
             }
         }
         let node = hello.node.clone();
-        self.hosts.insert(node, KnownHost { hello: Some(hello), heard: now });
+        self.hosts.insert(node, KnownHost { hello: Some(hello), heard_at: now });
     }
 
     /// Hosts with a data folder that were heard from within `limit`.
     pub(super) fn hosts_with_disk(&self, now: TimePoint, limit: Duration) -> Vec<NodeName> {
         self.hosts
             .iter()
-            .filter(|(_, host)| now.since(host.heard) < limit)
+            .filter(|(_, host)| now.since(host.heard_at) < limit)
             .filter(|(_, host)| host.hello.as_ref().is_some_and(|hello| hello.has_disk))
             .map(|(node, _)| node.clone())
             .collect()
@@ -118,13 +118,13 @@
 
     /// Other control hosts that were heard from within `limit`.
     pub(super) fn live_hosts(&self, now: TimePoint, limit: Duration) -> Vec<NodeName> {
-        let heard = |host: &KnownHost| host.hello.is_some() && now.since(host.heard) < limit;
-        self.hosts.iter().filter(|(_, host)| heard(host)).map(|(node, _)| node.clone()).collect()
+        let is_live = |host: &KnownHost| host.hello.is_some() && now.since(host.heard_at) < limit;
+        self.hosts.iter().filter(|(_, host)| is_live(host)).map(|(node, _)| node.clone()).collect()
     }
 
     /// Whether `node` was not heard from within `limit`.
     pub(super) fn is_silent(&self, now: TimePoint, node: &NodeName, limit: Duration) -> bool {
-        self.hosts.get(node).is_none_or(|host| now.since(host.heard) >= limit)
+        self.hosts.get(node).is_none_or(|host| now.since(host.heard_at) >= limit)
     }
 
     /// Whether this host should bootstrap the log.
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -41,7 +41,7 @@
         /// Endpoints to probe.
         probes: Vec<ProbeCall>,
     },
-    /// Results of these probes.
+    /// Answers to these probes.
     Told(Vec<ProbeAnswer>),
 }
 
@@ -61,7 +61,7 @@
     /// The deployment has no such zone.
     UnknownZone(ZoneName),
     /// Redirect to this host.
-    AskLeader(NodeName),
+    RedirectToLeader(NodeName),
     /// No correct reply is possible at the moment.
     Unavailable,
 }
@@ -69,12 +69,12 @@
 /// Channel for the reply to a call.
 pub(super) type ReplySender = oneshot::Sender<ControlReply>;
 
-/// Result of probing one endpoint.
+/// Answer to the probe of one endpoint, sent to the leader.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct ProbeAnswer {
     /// The endpoint.
     pub(super) id: IncarnationId,
-    /// The result.
+    /// How the probe ended.
     pub(super) result: ProbeResult,
 }
 
--- a/crates/gateway/src/control/metrics.rs
+++ b/crates/gateway/src/control/metrics.rs
@@ -36,7 +36,7 @@
     pub(super) unread_probes: Counter,
     /// Heartbeats relayed to the leader.
     pub(super) relayed_heartbeats: Counter,
-    /// Probe results relayed to the leader.
+    /// Probe answers relayed to the leader.
     pub(super) relayed_answers: Counter,
 }
 
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying of heartbeats and probe results between control hosts and the leader.
+//! Relaying of heartbeats and probe answers between control hosts and the leader.
 //!
 //! A single host cannot handle a connection, a heartbeat per second and, for group members, a
 //! report per second for each of thousands of endpoints. A leader that had no time to read
@@ -22,7 +22,7 @@
 use super::input::{ControlReply, CoreMessage, ReplySender};
 use super::relay_buffer::RelayBuffer;
 
-/// Maximum number of heartbeats or probe results in one message.
+/// Maximum number of heartbeats or probe answers in one message.
 const BATCH_SIZE: usize = 64;
 
 /// Number of endpoints up to which the leader sends all probes itself, which saves a network hop
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends the buffered heartbeats and probe results if they are due.
+    /// Sends the buffered heartbeats and probe answers if they are due.
     pub(super) fn flush_relay(&mut self, now: TimePoint) {
         if self.relay_buffer.flush_at.is_none_or(|at| now < at) {
             return;
--- a/crates/gateway/src/control/relay_buffer.rs
+++ b/crates/gateway/src/control/relay_buffer.rs
@@ -16,7 +16,7 @@
 pub(super) struct RelayBuffer {
     /// Heartbeats for the leader.
     pub(super) heartbeats: Vec<EndpointBeat>,
-    /// Probe results, by the host that requested them.
+    /// Probe answers, by the host that requested them.
     pub(super) answers: SortedTable<NodeName, Vec<ProbeAnswer>>,
     /// When the buffer is to be sent; `None` if it is empty.
     pub(super) flush_at: Option<TimePoint>,
@@ -28,7 +28,7 @@
         self.flush_at
     }
 
-    /// Buffers the result of a probe that `asker` requested.
+    /// Buffers the answer to a probe that `asker` requested.
     pub(super) fn buffer_answer(&mut self, now: TimePoint, asker: NodeName, answer: ProbeAnswer) {
         self.answers.get_or_insert_with(asker, Vec::new).push(answer);
         self.flush_at.get_or_insert(now.after(FLUSH_DELAY));
--- a/crates/gateway/src/control/voters.rs
+++ b/crates/gateway/src/control/voters.rs
@@ -50,7 +50,7 @@
         self.host_book.next_hello_at =
             now.after(if starting { STARTUP_HELLO_INTERVAL } else { HELLO_INTERVAL });
         self.host_book.hosts.retain(|_, host| {
-            host.heard == TimePoint::default() || now.since(host.heard) < FORGET_AFTER
+            host.heard_at == TimePoint::default() || now.since(host.heard_at) < FORGET_AFTER
         });
         let hello = self.own_hello();
         let names: Vec<NodeName> = self.host_book.hosts.keys().cloned().collect();
@@ -77,7 +77,9 @@
                 .host_book
                 .hosts
                 .iter()
-                .filter(|(_, host)| host.hello.is_some() && now.since(host.heard) < HELLO_TIMEOUT)
+                .filter(|(_, host)| {
+                    host.hello.is_some() && now.since(host.heard_at) < HELLO_TIMEOUT
+                })
                 .map(|(node, _)| node.clone())
                 .collect(),
         }
--- a/crates/gateway/src/entry/control_link.rs
+++ b/crates/gateway/src/entry/control_link.rs
@@ -22,7 +22,7 @@
 use crate::settings::GatewaySettings;
 
 /// Maximum number of queued reports.
-const REPORT_QUEUE: usize = 16;
+const MAX_QUEUED_REPORTS: usize = 16;
 
 /// Connect timeout for control hosts: a few round trips between distant regions.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -45,7 +45,7 @@
 pub(super) fn start(
     settings: &GatewaySettings,
 ) -> Result<(Sender<EntryReport>, mpsc::UnboundedReceiver<ControlEvent>), ProcessError> {
-    let (reports, queue) = bounded(REPORT_QUEUE);
+    let (reports, queue) = bounded(MAX_QUEUED_REPORTS);
     let (events, receiver) = mpsc::unbounded_channel();
     let link =
         ClientSettings { token: settings.link_token.clone(), connect_timeout: CONNECT_TIMEOUT };
--- a/crates/gateway/src/entry/refusal.rs
+++ b/crates/gateway/src/entry/refusal.rs
@@ -120,8 +120,8 @@
             Self::RulesUnconfirmed => (500, 1_000),
             // Repairing a group takes one to two seconds.
             Self::NoReplica => (900, 1_900),
-            // Every group finishes a request within 0.1 s. The delay is spread over several such
-            // intervals, so that callers refused together do not return together.
+            // On each group some request finishes within 0.1 s. The delay is spread over several
+            // such intervals, so that callers refused together do not return together.
             Self::ReplicasFull => (700, 1_900),
             Self::NotRun => (300, 800),
             Self::EndpointLimit { wait } => {
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -38,7 +38,8 @@
     pub(super) pool: RefCell<ConnectionPool>,
     fingerprint_key: PrintKey,
     quarantine_guard: RefCell<PrintGuard>,
-    /// Runs that ended in a crash, and completed runs of suspected requests; reported to the leader.
+    /// Runs that ended in a crash, and completed runs of suspected requests, which are reported to
+    /// the leader.
     pub(super) evidence_log: RefCell<EvidenceLog>,
     /// Requests whose connections broke, by endpoint, while a crash check is running.
     pub(super) broken_runs: RefCell<SortedTable<IncarnationId, Vec<BrokenRun>>>,
