--- a/crates/gateway/src/control/endpoints.rs
+++ b/crates/gateway/src/control/endpoints.rs
@@ -1,7 +1,7 @@
 //! Handling of deployment plans from operators, and of heartbeats, leave notices, and answers to
 //! probes and orders from endpoints.
 
-use briartray_fleet::director::{EndpointBeat, OrderCall, OrderOutcome};
+use briartray_fleet::director::{EndpointHeartbeat, OrderCall, OrderOutcome};
 use briartray_fleet::state::{FleetCommand, StoredPlan};
 use briartray_model::TimePoint;
 use briartray_model::names::IncarnationId;
@@ -33,7 +33,7 @@
     pub(super) fn receive_heartbeat(
         &mut self,
         now: TimePoint,
-        heartbeat: EndpointBeat,
+        heartbeat: EndpointHeartbeat,
         reply: ReplySender,
     ) {
         if !self.is_established() {
@@ -54,19 +54,23 @@
         let Some(leadership) = self.leadership.as_ref().filter(|lead| lead.established) else {
             return self.redirect(reply);
         };
-        let id = leadership.director.leaving_start(id);
+        let id = leadership.director.resolve_incarnation(id);
         log::info!(endpoint:% = id; "endpoint is leaving; recording that it takes no new work");
         self.submit(&FleetCommand::MarkLeaving(id), CommandOrigin::Caller(reply));
     }
 
     /// Processes heartbeats received by this host or relayed by another control host.
-    pub(super) fn receive_heartbeats(&mut self, now: TimePoint, heartbeats: Vec<EndpointBeat>) {
+    pub(super) fn receive_heartbeats(
+        &mut self,
+        now: TimePoint,
+        heartbeats: Vec<EndpointHeartbeat>,
+    ) {
         let Some(leadership) = self.leadership.as_mut().filter(|lead| lead.established) else {
             return;
         };
         for heartbeat in heartbeats {
             log::trace!("received {heartbeat:?}");
-            if leadership.director.beat(now, heartbeat) {
+            if leadership.director.heartbeat(now, heartbeat) {
                 leadership.view_dirty = true;
                 leadership.step_due = true;
             }
@@ -82,10 +86,10 @@
                 let report = Some(report.clone());
                 leadership.step_due |= leadership.director.probed(now, id, report);
             }
-            ProbeResult::OtherEndpoint => leadership.director.gone(id),
+            ProbeResult::OtherEndpoint => leadership.director.endpoint_gone(id),
             ProbeResult::Unread => {
                 self.parts.metrics.unread_probes.inc();
-                return leadership.director.unread(now, id);
+                return leadership.director.probe_unread(now, id);
             }
             ProbeResult::Silent => {
                 self.parts.metrics.silent_probes.inc();
--- a/crates/gateway/src/control/entry_updates.rs
+++ b/crates/gateway/src/control/entry_updates.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use briartray_fleet::director::ENTRY_GONE;
+use briartray_fleet::director::ENTRY_TIMEOUT;
 use briartray_fleet::message::{EntryNotice, EntryReport, ViewVersion};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::{EncodedMessage, LinkWriter};
@@ -51,7 +51,7 @@
         let newest = plan.map(|plan| plan.version);
         let plan_bytes = plan.map_or(0, StoredPlan::packed_len);
         let Some(leadership) = &mut self.leadership else { return };
-        leadership.entries.retain(|_, entry| now.since(entry.heard_at) < ENTRY_GONE);
+        leadership.entries.retain(|_, entry| now.since(entry.heard_at) < ENTRY_TIMEOUT);
         let mut encoded = SortedTable::new();
         for entry in leadership.entries.values_mut() {
             let lacks_plan = entry.plan < newest && leadership.pacer.may_send(now, plan_bytes);
@@ -89,7 +89,8 @@
         let version = ViewVersion { term: leadership.term, number: leadership.view_number + 1 };
         let mut view = leadership.director.view(now, &self.state, plan, version);
         view.entries = leadership.entries.len();
-        let unchanged = leadership.views.newest().is_some_and(|known| known.tells_as(&view));
+        let unchanged =
+            leadership.views.newest().is_some_and(|known| known.has_same_content(&view));
         let newest = self.state.plan().map(|plan| plan.version);
         let quarantine_version = leadership.quarantine.view().version;
         let lacks = |entry: &EntrySession| {
@@ -160,7 +161,7 @@
         let base_notice = self.base_notice();
         let newest = self.state.plan().map(|plan| plan.version);
         let Some(leadership) = &mut self.leadership else { return self.send_leader_hint(writer) };
-        let loads = leadership.director.loads_beside(report);
+        let loads = leadership.director.loads_of_others(report);
         let session = leadership.entries.get_mut(&report.node);
         let mut session = session.filter(|session| session.writer.is_same(writer));
         // The session also knows what was sent but is not in the report yet.
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -3,7 +3,9 @@
 use std::time::Instant;
 
 use briartray_control::agreement::PeerMessage;
-use briartray_fleet::director::{EndpointBeat, EndpointReport, OrderCall, OrderOutcome, ProbeCall};
+use briartray_fleet::director::{
+    EndpointHeartbeat, EndpointReport, OrderCall, OrderOutcome, ProbeCall,
+};
 use briartray_fleet::message::{EntryReport, HostHello};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::LinkWriter;
@@ -33,7 +35,7 @@
     /// The sender's state and the hosts it knows.
     Hello(HostHello),
     /// Heartbeats received by the sender, relayed to the leader.
-    Beats(Vec<EndpointBeat>),
+    Beats(Vec<EndpointHeartbeat>),
     /// The leader asks the receiver to probe endpoints.
     Ask {
         /// The leader.
@@ -115,7 +117,7 @@
     /// An operator evacuates or readmits a zone.
     ChangeZone { zone: ZoneName, change: ZoneChange, reply: ReplySender },
     /// A heartbeat from an endpoint.
-    Heartbeat { heartbeat: EndpointBeat, reply: ReplySender },
+    Heartbeat { heartbeat: EndpointHeartbeat, reply: ReplySender },
     /// An endpoint is leaving and takes no new work.
     Leave { id: IncarnationId, reply: ReplySender },
     /// A probe has ended; `asker` is the leader that requested it, if another host leads.
--- a/crates/gateway/src/control/leadership.rs
+++ b/crates/gateway/src/control/leadership.rs
@@ -1,7 +1,7 @@
 //! State that a control host keeps while it leads.
 
 use briartray_fleet::director::FleetDirector;
-use briartray_fleet::limit::LimitBoard;
+use briartray_fleet::limit::LimitAllocator;
 use briartray_fleet::message::ViewHistory;
 use briartray_model::names::{NodeName, TermNumber};
 use briartray_model::{SortedTable, TimePoint};
@@ -34,7 +34,7 @@
     /// Requests that crash endpoints.
     pub(super) quarantine: QuarantineTracker,
     /// Distribution of rate-limited endpoints over the entries.
-    pub(super) limits: LimitBoard,
+    pub(super) limits: LimitAllocator,
     /// Rate limit for sending deployment plans.
     pub(super) pacer: SendPacer,
     /// Number of the newest view.
@@ -59,7 +59,7 @@
             entries: SortedTable::new(),
             views: ViewHistory::default(),
             quarantine: QuarantineTracker::default(),
-            limits: LimitBoard::new(now),
+            limits: LimitAllocator::new(now),
             pacer: SendPacer::default(),
             view_number: 0,
             next_update_at: now,
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -13,7 +13,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use briartray_fleet::director::{EndpointBeat, ProbeCall};
+use briartray_fleet::director::{EndpointHeartbeat, ProbeCall};
 use briartray_model::names::{IncarnationId, NodeName};
 use briartray_model::{SortedTable, TimePoint};
 
@@ -38,7 +38,7 @@
     pub(super) fn relay_heartbeat(
         &mut self,
         now: TimePoint,
-        heartbeat: EndpointBeat,
+        heartbeat: EndpointHeartbeat,
         reply: ReplySender,
     ) {
         if heartbeat.leaving || self.leader().is_none() {
--- a/crates/gateway/src/control/relay_buffer.rs
+++ b/crates/gateway/src/control/relay_buffer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briartray_fleet::director::EndpointBeat;
+use briartray_fleet::director::EndpointHeartbeat;
 use briartray_model::names::NodeName;
 use briartray_model::{SortedTable, TimePoint};
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RelayBuffer {
     /// Heartbeats for the leader.
-    pub(super) heartbeats: Vec<EndpointBeat>,
+    pub(super) heartbeats: Vec<EndpointHeartbeat>,
     /// Probe answers, by the host that requested them.
     pub(super) answers: SortedTable<NodeName, Vec<ProbeAnswer>>,
     /// When the buffer is to be sent; `None` if it is empty.
@@ -35,7 +35,7 @@
     }
 
     /// Buffers a heartbeat for the leader.
-    pub(super) fn buffer_heartbeat(&mut self, now: TimePoint, heartbeat: EndpointBeat) {
+    pub(super) fn buffer_heartbeat(&mut self, now: TimePoint, heartbeat: EndpointHeartbeat) {
         self.heartbeats.push(heartbeat);
         self.flush_at.get_or_insert(now.after(FLUSH_DELAY));
     }
--- a/crates/gateway/src/entry/control_link.rs
+++ b/crates/gateway/src/entry/control_link.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use briartray_fleet::entry::AnswerWait;
+use briartray_fleet::entry::AnswerTimeout;
 use briartray_fleet::message::{EntryNotice, EntryReport};
 use briartray_link::{CallKind, ClientSettings, LinkClient, LinkError, LinkReader, LinkWriter};
 use briartray_model::TimePoint;
@@ -133,9 +133,9 @@
 
     /// The leader named last or the next known host, and the time to wait for its notices; `None`
     /// if no host is known.
-    fn next_host(&mut self, now: TimePoint) -> Option<(NodeName, AnswerWait)> {
+    fn next_host(&mut self, now: TimePoint) -> Option<(NodeName, AnswerTimeout)> {
         if let Some(leader) = self.leader.take() {
-            return Some((leader, AnswerWait::new(now)));
+            return Some((leader, AnswerTimeout::new(now)));
         }
         if self.next >= self.hosts.len() {
             self.next = 0;
@@ -143,7 +143,7 @@
         }
         let host = self.hosts.get(self.next)?.clone();
         self.next += 1;
-        Some((host, AnswerWait::searching(now, self.rounds)))
+        Some((host, AnswerTimeout::searching(now, self.rounds)))
     }
 
     fn run_stream(
@@ -152,14 +152,14 @@
         writer: &LinkWriter,
         reader: &LinkReader,
         clock: &ClockReader,
-        mut wait: AnswerWait,
+        mut wait: AnswerTimeout,
     ) -> SessionEnd {
         loop {
             for report in self.queue.try_iter() {
                 if writer.try_send(&report).is_err() {
                     return SessionEnd::NextHost;
                 }
-                wait.asked(clock.now());
+                wait.report_sent(clock.now());
             }
             match reader.receive::<EntryNotice>(RECEIVE_TIMEOUT) {
                 Ok(notice) => {
@@ -182,7 +182,7 @@
                     return SessionEnd::NextHost;
                 }
             }
-            if wait.is_over(clock.now()) {
+            if wait.is_expired(clock.now()) {
                 return SessionEnd::NextHost;
             }
         }
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -7,7 +7,7 @@
 
 use briartray_fleet::deployment::{RepeatKind, RouteBook, RouteRule};
 use briartray_fleet::entry::{
-    AttemptEnd, AttemptPlan, ChoiceRefusal, NextMove, TargetChoice, TargetId, TargetWish,
+    AttemptEnd, ChoiceRefusal, NextStep, RetryState, TargetChoice, TargetId, TargetQuery,
 };
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
@@ -182,10 +182,10 @@
     }
 
     /// Decides how to proceed after an attempt.
-    pub(super) fn next_move(&self, end: AttemptEnd) -> NextMove {
+    pub(super) fn next_move(&self, end: AttemptEnd) -> NextStep {
         let sends = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
         let may_send = sends < self.rule.max_attempts.max(1) + EXTRA_SENDS;
-        let plan = AttemptPlan {
+        let plan = RetryState {
             kind: self.rule.kind,
             runs: self.runs,
             max_attempts: self.rule.max_attempts,
@@ -193,12 +193,12 @@
         };
         match plan.next(end) {
             // A suspected request could crash a second endpoint.
-            NextMove::SendAgain if self.standing() != PrintStanding::Clear => {
-                AttemptPlan { may_try: false, ..plan }.next(end)
+            NextStep::RetryElsewhere if self.standing() != PrintStanding::Clear => {
+                RetryState { may_try: false, ..plan }.next(end)
             }
             // The retry budget is charged only if all other conditions allow another attempt.
-            NextMove::SendAgain if !self.may_retry() => {
-                AttemptPlan { may_try: false, ..plan }.next(end)
+            NextStep::RetryElsewhere if !self.may_retry() => {
+                RetryState { may_try: false, ..plan }.next(end)
             }
             next => next,
         }
@@ -206,14 +206,14 @@
 
     /// Chooses the target for the next attempt.
     pub(super) fn choose_target(&self) -> Result<TargetChoice, ChoiceRefusal> {
-        let wish = TargetWish {
+        let query = TargetQuery {
             service: &self.service,
             model: self.head.model.as_deref(),
             tried: &self.tried,
         };
         let mut table = self.state.table.borrow_mut();
-        let choice = table.choose(self.state.now(), &self.book, &wish);
-        let wants_share = table.take_wanted_share();
+        let choice = table.choose(self.state.now(), &self.book, &query);
+        let wants_share = table.take_share_request();
         drop(table);
         if wants_share {
             self.state.send_report();
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -7,9 +7,9 @@
 
 use briartray_fleet::deployment::{RouteBook, RouteRule};
 use briartray_fleet::entry::{
-    EntryLease, RetryBudget, StartupWait, TargetTable, ask_pause, report_pause,
+    EntryLease, RetryBudget, StartupWait, TargetTable, report_interval, retry_interval,
 };
-use briartray_fleet::limit::LimitWord;
+use briartray_fleet::limit::LimitHeader;
 use briartray_fleet::message::{EntryNotice, EntryReport, ModelDemand, WorkSum};
 use briartray_fleet::state::StoredPlan;
 use briartray_model::message::PrintView;
@@ -221,14 +221,14 @@
 
     pub(super) fn housekeeping_pass(&self) {
         let now = self.now();
-        let silent = self.table.borrow_mut().find_silent(now);
+        let silent = self.table.borrow_mut().detect_silent_groups(now);
         if !silent.is_empty() {
             for group in &silent {
                 log::warn!(group = group.0; "group is silent; sending it no more requests");
             }
             self.send_report();
         }
-        if self.table.borrow().waits_on_silent(now) {
+        if self.table.borrow().waits_on_suspect(now) {
             self.silence_notify.notify_waiters();
         }
         self.pool.borrow_mut().prune(now);
@@ -273,7 +273,7 @@
         let Some(spec) = engine.model(model) else { return };
         // The caller's token limit is a poor estimate: it is three times the usual response length.
         let answer = head.answer_guess.unwrap_or(engine.usual_answer);
-        let reading = engine.read_ms(tokens.prompt) * spec.pace;
+        let reading = engine.prefill_ms(tokens.prompt) * spec.pace;
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
         let sum = WorkSum {
             work_ms: engine.work_ms(spec, tokens.prompt, answer),
@@ -313,7 +313,7 @@
             log::debug!(term, number, whole, groups; "received view update");
             table.update(self.now(), update);
         }
-        table.take_loads(self.now(), &notice.loads);
+        table.record_other_loads(self.now(), &notice.loads);
         if let Some(prints) = notice.prints {
             self.adopt_quarantine(prints);
         }
@@ -343,12 +343,12 @@
     }
 
     /// Records the rate limit that `endpoint` stated in a response.
-    pub(super) fn record_limit(&self, endpoint: Option<&IncarnationId>, word: LimitWord) {
+    pub(super) fn record_limit(&self, endpoint: Option<&IncarnationId>, header: LimitHeader) {
         let Some(endpoint) = endpoint else { return };
-        let changed = self.table.borrow_mut().limits().hear(self.now(), endpoint, word);
+        let changed = self.table.borrow_mut().limits().record_header(self.now(), endpoint, header);
         if changed {
             log::info!(endpoint:% = endpoint;
-                "endpoint changed its rate limit to {word:?}; reporting to the leader");
+                "endpoint changed its rate limit to {header:?}; reporting to the leader");
             self.send_report();
         }
     }
@@ -398,8 +398,8 @@
     /// Interval until the next report to the leader.
     pub(super) fn next_report_pause(&self) -> Duration {
         match self.has_routing_state() {
-            true => report_pause(self.table.borrow().entries()),
-            false => ask_pause(self.unconfirmed_reports.get()),
+            true => report_interval(self.table.borrow().entries()),
+            false => retry_interval(self.unconfirmed_reports.get()),
         }
     }
 }
--- a/crates/gateway/src/entry/stream_relay.rs
+++ b/crates/gateway/src/entry/stream_relay.rs
@@ -7,7 +7,7 @@
 
 use std::pin::Pin;
 
-use briartray_fleet::entry::{AttemptEnd, EventCutter, NextMove, StreamEvent};
+use briartray_fleet::entry::{AttemptEnd, EventSplitter, NextStep, StreamEvent};
 use briartray_platform::answer_headers;
 use bytes::Bytes;
 use http::Response;
@@ -24,7 +24,7 @@
 /// A stream in progress.
 struct LiveStream {
     answer: LiveAnswer,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     /// Fires at the request's deadline; one timer serves all events of the stream.
     deadline_timer: Pin<Box<Sleep>>,
 }
@@ -105,7 +105,7 @@
             Ok(answer) => {
                 let deadline_timer = Box::pin(tokio::time::sleep(request.time_left()));
                 let mut stream =
-                    LiveStream { answer, cutter: EventCutter::default(), deadline_timer };
+                    LiveStream { answer, splitter: EventSplitter::default(), deadline_timer };
                 match next_step(request, &mut stream).await {
                     StreamStep::Event(event) if follows(last, event.id) => {
                         stream.answer.guard.note_first_part();
@@ -124,9 +124,9 @@
             }
         };
         match request.next_move(end) {
-            NextMove::SendAgain => {}
-            NextMove::Refuse => return Err(OpenFailure::Refused(RefusalKind::NotRun)),
-            NextMove::Unknown | NextMove::PassOn => {
+            NextStep::RetryElsewhere => {}
+            NextStep::Refuse => return Err(OpenFailure::Refused(RefusalKind::NotRun)),
+            NextStep::Unknown | NextStep::ForwardFailure => {
                 let late = request.time_left().is_zero();
                 let kind = if late { RefusalKind::TimedOut } else { RefusalKind::Unknown };
                 return Err(OpenFailure::Refused(kind));
@@ -185,10 +185,10 @@
 /// a large share of the processor time that an entry spends on streams.
 async fn next_step(request: &ServedRequest, stream: &mut LiveStream) -> StreamStep {
     loop {
-        if let Some(event) = stream.cutter.next_event() {
+        if let Some(event) = stream.splitter.next_event() {
             return StreamStep::Event(event);
         }
-        let LiveStream { answer, cutter, deadline_timer } = &mut *stream;
+        let LiveStream { answer, splitter, deadline_timer } = &mut *stream;
         let read = tokio::select! {
             read = answer.exchange.next_bytes() => read,
             () = request.state.silence_notify.notified() => {
@@ -202,11 +202,11 @@
         match read {
             Ok(Some(bytes)) => {
                 answer.guard.note_progress();
-                if !cutter.push(&bytes) {
+                if !splitter.push(&bytes) {
                     return StreamStep::Broken;
                 }
             }
-            Ok(None) if !cutter.has_rest() => return StreamStep::End,
+            Ok(None) if !splitter.has_partial_event() => return StreamStep::End,
             Ok(None) => return StreamStep::Broken,
             Err(_) => {
                 crash_check::check(request);
@@ -282,7 +282,7 @@
             StreamStep::End => return true,
             StreamStep::Broken => {
                 request.runs += 1;
-                if request.next_move(AttemptEnd::MayHaveRun) != NextMove::SendAgain {
+                if request.next_move(AttemptEnd::MayHaveRun) != NextStep::RetryElsewhere {
                     return false;
                 }
                 let Ok((resumed, event)) = open_stream(request, position.last).await else {
--- a/crates/gateway/src/entry/whole_answer.rs
+++ b/crates/gateway/src/entry/whole_answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use briartray_fleet::entry::{AttemptEnd, ChoiceRefusal, NextMove};
+use briartray_fleet::entry::{AttemptEnd, ChoiceRefusal, NextStep};
 use briartray_platform::answer_headers;
 use bytes::Bytes;
 use http::Response;
@@ -43,9 +43,9 @@
             }
         };
         match (request.next_move(end), failed_answer.take()) {
-            (NextMove::SendAgain, answer) => failed_answer = answer,
+            (NextStep::RetryElsewhere, answer) => failed_answer = answer,
             (_, Some(answer)) => return forward_answer(answer),
-            (NextMove::Refuse, None) => return refuse(RefusalKind::NotRun),
+            (NextStep::Refuse, None) => return refuse(RefusalKind::NotRun),
             (_, None) if request.time_left() < LATE_MARGIN => return refuse(RefusalKind::TimedOut),
             (_, None) => return refuse(RefusalKind::Unknown),
         }
--- a/crates/gateway/src/stored_plan.rs
+++ b/crates/gateway/src/stored_plan.rs
@@ -1,7 +1,7 @@
 //! Decoding of deployment plans from the replicated state.
 
-use briartray_fleet::deployment::{DeploymentPlan, PlanProblem};
-use briartray_fleet::state::{StoredPlan, UnpackProblem};
+use briartray_fleet::deployment::{DeploymentPlan, PlanError};
+use briartray_fleet::state::{StoredPlan, UnpackError};
 use snafu::{ResultExt, Snafu};
 
 /// Reason why an accepted deployment plan cannot be used.
@@ -11,13 +11,13 @@
     #[snafu(display("{source}"))]
     Packed {
         /// Underlying error.
-        source: UnpackProblem,
+        source: UnpackError,
     },
     /// The plan text is invalid, although it was validated when it was accepted.
     #[snafu(display("{source}"))]
     Text {
         /// Underlying error.
-        source: PlanProblem,
+        source: PlanError,
     },
 }
 
