--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,33 +1,34 @@
-//! The one place that reads the monotonic clock.
+//! The monotonic clock, read only here.
 
 use std::time::Duration;
 
 use briartray_model::TimePoint;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads monotonic time as a [`TimePoint`] since the reader was made.
+/// Reads monotonic time as a [`TimePoint`] relative to the creation of the reader.
 ///
-/// The time counts on while the machine is suspended, which that of `Instant` does not: a lease would
-/// otherwise hold after the machine wakes, and an entry would serve a key that was taken away meanwhile.
+/// Unlike `Instant`, this clock includes the time during which the machine is suspended. Otherwise
+/// a lease would still hold after the machine wakes, and an entry would serve a key that was
+/// revoked meanwhile.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockReader {
     start: Duration,
 }
 
 impl ClockReader {
-    /// A reader that starts at zero now.
+    /// Creates a reader whose time starts at zero now.
     pub fn start() -> Self {
         Self { start: since_boot() }
     }
 
-    /// Time since the start.
+    /// Time since the reader was created, in microseconds.
     pub fn now(&self) -> TimePoint {
         let elapsed = since_boot().saturating_sub(self.start);
         TimePoint(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX))
     }
 }
 
-/// Time since the machine was started, suspensions included.
+/// Time since boot, including suspensions.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon process: the roles its settings name.
+//! A daemon process with the roles that its settings enable.
 
 use std::time::{Duration, Instant};
 
@@ -14,64 +14,64 @@
 use crate::metrics::MetricsHub;
 use crate::trace::TraceHub;
 
-/// Why a role could not start.
+/// Why the daemon could not start.
 #[derive(Debug, Snafu)]
 pub enum DaemonError {
     /// A link could not start.
     #[snafu(display("{source}"), context(false))]
     Link {
-        /// Why.
+        /// Error of the link.
         source: LinkError,
     },
     /// An HTTP port could not start.
     #[snafu(display("{source}"), context(false))]
     Listen {
-        /// Why.
+        /// Error of the listener.
         source: ListenError,
     },
-    /// The data folder cannot be used.
+    /// The data folder of the control role cannot be used.
     #[snafu(display("{source}"), context(false))]
     Storage {
-        /// Why.
+        /// Error of the storage.
         source: StorageError,
     },
     /// A thread could not start.
     #[snafu(display("cannot start a thread: {source}; check the process limits"), context(false))]
     Thread {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file for spans cannot be used.
-    #[snafu(display("cannot write spans: {source}; change trace.file or its folder"))]
+    /// The trace file cannot be opened.
+    #[snafu(display("cannot open the trace file: {source}; change trace.file or its folder"))]
     TraceFile {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The first rules could not be read.
-    #[snafu(display("first rules {path}: {detail}; correct the file and start again"))]
+    /// The file with the first rules could not be read or is invalid.
+    #[snafu(display("first rules {path}: {detail}; correct the file and restart"))]
     FirstRules {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// Description of the error.
         detail: String,
     },
 }
 
 /// The roles that run in this process.
 pub struct RunningDaemon {
-    /// The control role.
+    /// The control role, if enabled.
     pub control: Option<ControlNode>,
-    /// The entry role.
+    /// The entry role, if enabled.
     pub entry: Option<EntryNode>,
-    /// The agent role.
+    /// The agent role, if enabled.
     pub agent: Option<AgentNode>,
 }
 
 impl RunningDaemon {
-    /// Starts the roles that `settings` names.
+    /// Starts the roles that `settings` enables.
     ///
     /// # Errors
-    /// A `DaemonError` that names the remedy.
+    /// A `DaemonError` when a role cannot start; its message says how to resolve it.
     pub fn start(settings: &DaemonSettings) -> Result<Self, DaemonError> {
         let metrics = MetricsHub::default();
         let traces = TraceHub::start(&settings.trace, &settings.node)
@@ -91,8 +91,10 @@
         Ok(Self { control, entry, agent })
     }
 
-    /// Ends the roles as by a planned stop, those before callers first: nothing in progress is cut
-    /// off unless it outlasts the settings' limit. `false` when work was left.
+    /// Drains and stops the roles for a planned stop, the entry first.
+    ///
+    /// Work in progress is aborted only after the settings' limit. Returns `false` when work was
+    /// left.
     pub fn drain(&self, settings: &StopSettings) -> bool {
         let notice = Duration::from_millis(settings.notice_ms.into());
         let limit = Duration::from_millis(settings.wait_ms.into());
@@ -104,12 +106,12 @@
         entry && agent
     }
 
-    /// Why the process cannot go on, if so; it has raised a signal on itself then.
+    /// Why the process cannot continue, if it has failed; it has then raised a signal on itself.
     pub fn failure(&self) -> Option<&str> {
         self.control.as_ref().and_then(ControlNode::failure)
     }
 
-    /// Stops the roles, those before callers first.
+    /// Stops the roles, the entry first.
     pub fn stop(&self) {
         if let Some(entry) = &self.entry {
             entry.stop();
--- a/crates/node/src/entry/api.rs
+++ b/crates/node/src/entry/api.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface.
+//! The HTTP interface for callers.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 
 use super::call::CallPlan;
 use super::decide::{CallDecision, CallFacts};
-use super::once::{self, check_key};
+use super::idempotency::{self, check_key};
 use super::output::CallerOutput;
 use super::refusal::{CallRefusal, RefusalCode};
 use super::shared::{EntryShared, EntryView};
@@ -23,23 +23,24 @@
 use crate::new_request;
 use crate::trace::{SpanHop, TraceScope};
 
-/// Team of callers that name none.
+/// Team of callers that send no team header.
 const DEFAULT_TEAM: &str = "default";
 
-/// Methods of plain services that change nothing.
-const READING_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
+/// HTTP methods that change nothing, so that requests to plain services may be repeated.
+const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// Headers that are passed on to the endpoint.
-const PASSED_HEADERS: [&str; 3] = ["content-type", "accept", "idempotency-key"];
+/// Headers that are forwarded to the endpoint.
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "accept", "idempotency-key"];
 
-/// Paths that are only read.
-const READ_PATHS: [&str; 4] = ["/healthz", "/readyz", "/metrics", "/v1/models"];
+/// Paths that accept only GET and HEAD.
+const READ_ONLY_PATHS: [&str; 4] = ["/healthz", "/readyz", "/metrics", "/v1/models"];
 
-/// Header with the time that a caller gives its request, in milliseconds.
+/// Header with the time that the caller allows for its request, in milliseconds.
 const DEADLINE_HEADER: &str = "x-briartray-deadline-ms";
 
+/// The fields of a completion request that the entry reads.
 #[derive(Debug, Deserialize)]
-struct CallHead<'a> {
+struct CompletionFields<'a> {
     #[serde(default)]
     model: String,
     #[serde(default)]
@@ -50,21 +51,21 @@
     messages: Option<&'a RawValue>,
 }
 
-impl CallHead<'_> {
-    /// Digest of the head of the prompt as it stands in the body.
+impl CompletionFields<'_> {
+    /// Digest of the start of the prompt, taken over its raw JSON text.
     fn prefix(&self) -> Option<PrefixDigest> {
         let text = self.prompt.or(self.messages)?.get();
         PrefixDigest::of(text.as_bytes())
     }
 }
 
-/// Handles one request.
+/// Handles one HTTP request and answers it.
 pub(super) fn handle(request: Request, shared: &Arc<EntryShared>) {
     let path = request.url().split('?').next().unwrap_or_default().to_owned();
-    let reads = matches!(request.method(), Method::Get | Method::Head);
-    if READ_PATHS.contains(&path.as_str()) && !reads {
+    let is_read = matches!(request.method(), Method::Get | Method::Head);
+    if READ_ONLY_PATHS.contains(&path.as_str()) && !is_read {
         let refusal = CallRefusal::not_run(RefusalCode::WrongMethod, "use GET for this path");
-        shared.metrics.ended(refusal.code.as_str());
+        shared.metrics.record_outcome(refusal.code.as_str());
         reply_json(request, &refusal.reply(new_request()));
         return;
     }
@@ -104,21 +105,25 @@
 fn handle_call(mut request: Request, path: &str, shared: &Arc<EntryShared>) {
     let id = new_request();
     let view = shared.view();
-    let mut span = shared.traces.span(SpanHop::Entry, trace_of(&request));
+    let mut span = shared.traces.span(SpanHop::Entry, caller_trace(&request));
     let _scope = TraceScope::enter(span.context().trace_id);
     span.set("request", id);
     span.set("path", path);
     match plan_call(&mut request, path, id, shared, &view, span.context()) {
-        Ok(plan) => once::run(
+        Ok(plan) => idempotency::run(
             shared,
             &plan,
-            CallerOutput::new(id, request).timed(&shared.load_metrics, shared.clock, plan.arrived),
+            CallerOutput::new(id, request).with_timer(
+                &shared.admission_metrics,
+                shared.clock,
+                plan.arrived,
+            ),
         ),
         Err(refusal) => {
             let keyed = header_value(&request, "idempotency-key").is_some();
-            let refusal = if keyed { once::refuse_unasked(refusal) } else { refusal };
+            let refusal = if keyed { idempotency::refuse_before_claim(refusal) } else { refusal };
             span.fail(refusal.code.as_str());
-            shared.metrics.ended(refusal.code.as_str());
+            shared.metrics.record_outcome(refusal.code.as_str());
             reply_json(request, &refusal.reply(id));
         }
     }
@@ -134,15 +139,15 @@
 ) -> Result<CallPlan, CallRefusal> {
     let arrived = shared.clock.now();
     if shared.is_stopped() {
-        let message = "this entry is stopping; connect again through the balancer";
+        let message = "this entry is stopping; reconnect through the load balancer";
         return Err(CallRefusal::not_run(RefusalCode::Stopping, message));
     }
-    if !shared.rules_hold(view) {
+    if !shared.rules_usable(view) {
         return Err(CallRefusal::rules_unconfirmed());
     }
     let team = caller_team(request, view)?;
     let body = read_body(request, shared.settings.max_body_bytes).map_err(refuse_body)?;
-    let (service, model, stream, prefix, target_path) = match service_path(path) {
+    let (service, model, stream, prefix, target_path) = match split_service_path(path) {
         Some((service, rest)) => {
             let known = view.book.document().service(service);
             let plain = known.filter(|declared| declared.kind == ServiceKind::Plain);
@@ -155,16 +160,18 @@
             (declared.name.clone(), None, false, None, target)
         }
         None => {
-            let head = read_head(request, path, &body)?;
-            let declared = view.book.document().service_of_model(&head.model).ok_or_else(|| {
-                let message = format!("model {:?} is not offered; see /v1/models", head.model);
-                CallRefusal::not_run(RefusalCode::UnknownModel, &message)
-            })?;
-            let prefix = head.prefix();
-            (declared.name.clone(), Some(head.model), head.stream, prefix, path.to_owned())
+            let fields = read_completion(request, path, &body)?;
+            let declared =
+                view.book.document().service_of_model(&fields.model).ok_or_else(|| {
+                    let message =
+                        format!("model {:?} is not offered; see /v1/models", fields.model);
+                    CallRefusal::not_run(RefusalCode::UnknownModel, &message)
+                })?;
+            let prefix = fields.prefix();
+            (declared.name.clone(), Some(fields.model), fields.stream, prefix, path.to_owned())
         }
     };
-    if shared.crashes.standing(&target_path, &team, &body) == PrintStanding::Quarantined {
+    if shared.quarantine.standing(&target_path, &team, &body) == PrintStanding::Quarantined {
         return Err(CallRefusal::quarantined());
     }
     let facts = CallFacts {
@@ -177,19 +184,20 @@
         keyed: header_value(request, "idempotency-key").is_some(),
     };
     let CallDecision { rule, mut admit, retry, route } = facts.decide(&view.book)?;
-    shared.load_metrics.decided(rule.as_ref().map(RuleName::as_str));
-    let wanted = header_value(request, DEADLINE_HEADER).and_then(|text| text.parse().ok());
-    admit.deadline_ms = wanted.map_or(admit.deadline_ms, |wanted| admit.deadline_ms.min(wanted));
+    shared.admission_metrics.record_decision(rule.as_ref().map(RuleName::as_str));
+    let requested_ms = header_value(request, DEADLINE_HEADER).and_then(|text| text.parse().ok());
+    admit.deadline_ms =
+        requested_ms.map_or(admit.deadline_ms, |requested_ms| admit.deadline_ms.min(requested_ms));
     let key = check_key(header_value(request, "idempotency-key"), admit.idempotency_key)?;
-    let harmless = model.is_some() || READING_METHODS.contains(&request.method().as_str());
-    let repeatable = key.is_none() && retry.repeatable.unwrap_or(harmless);
+    let is_safe = model.is_some() || SAFE_METHODS.contains(&request.method().as_str());
+    let repeatable = key.is_none() && retry.repeatable.unwrap_or(is_safe);
     Ok(CallPlan {
         id,
         service,
         team,
         trace,
         arrived,
-        target: target_of(request, target_path),
+        target: call_target(request, target_path),
         body,
         stream,
         prefix,
@@ -223,20 +231,20 @@
 }
 
 /// Splits `/services/NAME/rest` into name and `/rest`.
-fn service_path(path: &str) -> Option<(&str, &str)> {
+fn split_service_path(path: &str) -> Option<(&str, &str)> {
     let rest = path.strip_prefix("/services/")?;
     let end = rest.find('/').unwrap_or(rest.len());
     let (name, tail) = rest.split_at(end);
     Some((name, if tail.is_empty() { "/" } else { tail }))
 }
 
-fn read_head<'a>(
+fn read_completion<'a>(
     request: &Request,
     path: &str,
     body: &'a [u8],
-) -> Result<CallHead<'a>, CallRefusal> {
+) -> Result<CompletionFields<'a>, CallRefusal> {
     if path != "/v1/completions" && path != "/v1/chat/completions" {
-        let message = "this path is not served; see the guide for the calls";
+        let message = "this path is not served; see the guide for valid paths";
         return Err(CallRefusal::not_run(RefusalCode::UnknownPath, message));
     }
     if *request.method() != Method::Post {
@@ -249,14 +257,14 @@
     })
 }
 
-/// The caller's trace; one without a span id when it names none.
-fn trace_of(request: &Request) -> TraceContext {
+/// The trace context of the caller; without a span id when it sends none.
+fn caller_trace(request: &Request) -> TraceContext {
     let given = header_value(request, "traceparent").and_then(TraceContext::parse);
     given.unwrap_or(TraceContext { sampled: true, ..TraceContext::default() })
 }
 
-fn target_of(request: &Request, path: String) -> CallTarget {
-    let headers = PASSED_HEADERS
+fn call_target(request: &Request, path: String) -> CallTarget {
+    let headers = FORWARDED_HEADERS
         .iter()
         .filter_map(|name| {
             let value = header_value(request, name)?.to_owned();
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: the input and output around an [`AttemptTracker`].
+//! One attempt at a request: performs the input and output that an [`AttemptTracker`] decides on.
 
 use std::time::{Duration, Instant};
 
@@ -18,48 +18,52 @@
 use crate::new_attempt;
 use crate::trace::SpanHop;
 
-/// How long an agent may take to take note that a caller has gone.
-const CANCEL_WAIT: Duration = Duration::from_millis(500);
+/// Timeout for an agent to acknowledge a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Age of a connection up to which it counts as new; shorter than any silence that is acted on, so
-/// that the streams of one dead connection share its successor.
-const FRESH_CONNECTION: Duration = Duration::from_millis(500);
+/// Age up to which a connection counts as new when an attempt reconnects.
+///
+/// Shorter than any silence that triggers a reconnect, so that all streams of one dead connection
+/// share its replacement.
+const FRESH_CONNECTION_AGE: Duration = Duration::from_millis(500);
 
-/// Least status of an answer that tells of a failure of the endpoint.
-const SERVER_ERROR: u16 = 500;
+/// Lowest HTTP status that reports a failure of the endpoint.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 /// How one attempt ended.
 pub(super) enum AttemptEnd {
-    /// The caller has its whole answer, or went away.
+    /// The caller has its whole answer, or disconnected (then without a load report).
     Answered(Option<LoadReport>),
-    /// The caller has the endpoint's whole answer, which tells of a failure there.
+    /// The caller has the endpoint's whole answer, which is a server error.
     AnsweredFailure(LoadReport),
-    /// Not run; another replica may be asked.
+    /// Not run; another replica may be tried.
     Refused(RefusalReason, Option<LoadReport>),
     /// Ended without a whole answer.
     Failed {
-        /// What the caller is told.
+        /// The refusal for the caller.
         refusal: CallRefusal,
-        /// The start of the endpoint that crashed meanwhile, where it did.
+        /// Incarnation of the endpoint, if it crashed during the attempt.
         crashed: Option<IncarnationId>,
     },
 }
 
-/// An answer that is not a stream, collected before the caller sees any of it.
+/// An answer that is not a stream, buffered until it is complete.
 #[derive(Default)]
-struct WholeAnswer {
+struct BufferedAnswer {
     status: u16,
     content_type: String,
     body: Vec<u8>,
 }
 
-/// The stream that the attempt uses now.
+/// The link stream that the attempt uses now.
 struct AttemptStream {
     writer: LinkWriter,
     reader: LinkReader,
 }
 
-/// Runs one attempt; hands the output back unless the caller was answered.
+/// Runs one attempt.
+///
+/// Returns the output unless the caller was answered or has disconnected.
 pub(super) fn run_attempt(
     shared: &EntryShared,
     view: &EntryView,
@@ -72,7 +76,7 @@
     let mut span = shared.traces.span(SpanHop::Link, plan.trace);
     span.set("attempt", attempt);
     span.set("group", record.group);
-    let order = order_for(shared, view, plan, record, attempt, deadline, span.context());
+    let order = build_order(shared, view, plan, record, attempt, deadline, span.context());
     let tracker = AttemptTracker::new(
         shared.clock.now(),
         TrackerPlan {
@@ -85,18 +89,18 @@
     let (writer, reader) = shared.link.open(record.link, CallKind::Dispatch);
     let stream = AttemptStream { writer, reader };
     if let Err(error) = stream.writer.send(&EntryRequest::Dispatch(order)) {
-        // The reader tells why the stream is gone, and with it whether anything was sent.
-        log::debug!("dispatch was not taken: {error}");
+        // The reader reports why the stream ended, and with it whether anything was sent.
+        log::debug!("dispatch could not be sent: {error}");
     }
     let run =
-        AttemptRun { shared, record, attempt, tracker, stream, answer: WholeAnswer::default() };
-    let (end, back) = run.follow(output);
+        AttemptRun { shared, record, attempt, tracker, stream, answer: BufferedAnswer::default() };
+    let (end, returned) = run.follow(output);
     if let AttemptEnd::Failed { refusal, .. } = &end {
         span.fail(&refusal.message);
     } else if let AttemptEnd::Refused(reason, _) = &end {
         span.set("refused", format!("{reason:?}"));
     }
-    (end, back)
+    (end, returned)
 }
 
 struct AttemptRun<'a> {
@@ -105,7 +109,7 @@
     attempt: AttemptId,
     tracker: AttemptTracker,
     stream: AttemptStream,
-    answer: WholeAnswer,
+    answer: BufferedAnswer,
 }
 
 impl Drop for AttemptRun<'_> {
@@ -117,16 +121,16 @@
 impl AttemptRun<'_> {
     fn follow(mut self, mut output: CallerOutput) -> (AttemptEnd, Option<CallerOutput>) {
         loop {
-            let (action, quiet) = self.next_action();
+            let (action, is_progress) = self.next_action();
             match action {
                 TrackerAction::Wait => {
-                    if quiet && output.check_caller().is_err() {
+                    if is_progress && output.check_caller().is_err() {
                         return (self.caller_gone(), None);
                     }
                 }
                 TrackerAction::Crossed => {
                     self.shared.metrics.crossed.inc();
-                    log::warn!("an answer to another attempt was dropped");
+                    log::warn!("dropped an answer that belongs to another attempt");
                 }
                 TrackerAction::Head { status, content_type } => {
                     self.answer.status = status;
@@ -145,7 +149,7 @@
                     let _ =
                         self.stream.writer.send(&EntryRequest::Received { attempt: self.attempt });
                     let answer = std::mem::take(&mut self.answer);
-                    let failed = answer.status >= SERVER_ERROR;
+                    let failed = answer.status >= MIN_SERVER_ERROR_STATUS;
                     answer.deliver(output);
                     let end = match failed {
                         true => AttemptEnd::AnsweredFailure(load),
@@ -160,13 +164,13 @@
                 TrackerAction::Lost { outcome, detail, crashed } => {
                     self.cancel();
                     output.mark_may_have_run();
-                    let refusal = lost(outcome, &detail);
+                    let refusal = replica_failure(outcome, &detail);
                     return (AttemptEnd::Failed { refusal, crashed }, Some(output));
                 }
                 TrackerAction::Late => {
-                    // The caller's time is up: it gets its answer now, the agent is told after.
+                    // The caller is answered now; the agent's confirmation is not awaited.
                     let message =
-                        "no whole answer came before the deadline; look up whether it ran";
+                        "no complete answer before the deadline; check whether the request ran";
                     let refusal = CallRefusal::unknown(RefusalCode::DeadlinePassed, message);
                     self.cancel();
                     output.mark_may_have_run();
@@ -176,78 +180,78 @@
         }
     }
 
-    /// Waits for one event; tells also whether it was a progress mark.
+    /// Waits for one event; the flag is `true` for a progress message.
     fn next_action(&mut self) -> (TrackerAction, bool) {
         let wait = self.tracker.wait(self.shared.clock.now());
         let received = self.stream.reader.receive::<AgentReply>(wait);
         let now = self.shared.clock.now();
         match received {
             Ok(reply) => {
-                let quiet = matches!(reply, AgentReply::Progress { .. });
-                (self.tracker.on_reply(now, reply), quiet)
+                let is_progress = matches!(reply, AgentReply::Progress { .. });
+                (self.tracker.on_reply(now, reply), is_progress)
             }
             Err(briartray_link::LinkError::TimedOut) => (self.tracker.on_timeout(now), false),
             Err(error) => {
-                log::debug!("attempt {} lost its stream: {error}", self.attempt);
+                log::debug!("stream of attempt {} ended: {error}", self.attempt);
                 (self.tracker.on_disconnect(now, error.nothing_sent()), false)
             }
         }
     }
 
-    /// Asks again over a connection that is newer than the one that failed.
+    /// Sends `request` over a connection that is newer than the one that failed.
     fn reconnect(&mut self, request: &EntryRequest, wait: Duration) {
         self.shared.metrics.reconnects.inc();
         std::thread::sleep(wait);
         let now = Instant::now();
-        let since = now.checked_sub(FRESH_CONNECTION).unwrap_or(now);
+        let connected_after = now.checked_sub(FRESH_CONNECTION_AGE).unwrap_or(now);
         let (writer, reader) =
-            self.shared.link.open_since(self.record.link, CallKind::Dispatch, since);
+            self.shared.link.open_since(self.record.link, CallKind::Dispatch, connected_after);
         if let Err(error) = writer.send(request) {
-            log::debug!("a question to an agent was not taken: {error}");
+            log::debug!("request could not be sent after a reconnect: {error}");
         }
         self.stream = AttemptStream { writer, reader };
     }
 
     fn caller_gone(&self) -> AttemptEnd {
-        log::debug!("caller of attempt {} went away", self.attempt);
+        log::debug!("caller of attempt {} disconnected; cancelling it", self.attempt);
         self.cancel();
         AttemptEnd::Answered(None)
     }
 
-    /// Tells the agent that nobody waits any more, so that the engine stops generating.
+    /// Cancels the attempt at the agent, so that the engine stops generating.
     fn cancel(&self) {
         let (link, address, attempt) = (self.shared.link.clone(), self.record.link, self.attempt);
-        let ask = move || {
+        let send_cancel = move || {
             let (writer, reader) = link.open(address, CallKind::Dispatch);
             let sent = writer.send(&EntryRequest::Cancel { attempt });
-            let answered = sent.and_then(|()| reader.receive::<AgentReply>(CANCEL_WAIT));
+            let answered = sent.and_then(|()| reader.receive::<AgentReply>(CANCEL_TIMEOUT));
             if let Err(error) = answered {
-                log::debug!("attempt {attempt} was not cancelled: {error}");
+                log::debug!("attempt {attempt} could not be cancelled: {error}");
             }
         };
         if let Err(error) =
-            briartray_web::spawn_worker("cancel", briartray_web::WORKER_STACK_BYTES, ask)
+            briartray_web::spawn_worker("cancel", briartray_web::WORKER_STACK_BYTES, send_cancel)
         {
-            log::error!("cannot cancel an attempt: {error}; raise the thread limit");
+            log::error!("cannot start the cancel thread: {error}; raise the thread limit");
         }
     }
 }
 
-impl WholeAnswer {
+impl BufferedAnswer {
     fn is_event_stream(&self) -> bool {
         self.status == 200 && self.content_type.starts_with("text/event-stream")
     }
 
     fn deliver(self, output: CallerOutput) {
         if !self.is_event_stream() {
-            output.whole(self.status, &self.content_type, self.body);
+            output.finish_body(self.status, &self.content_type, self.body);
         } else if let Err(error) = output.finish_events() {
-            log::debug!("caller went away: {error}");
+            log::debug!("caller disconnected during its answer: {error}");
         }
     }
 }
 
-fn order_for(
+fn build_order(
     shared: &EntryShared,
     view: &EntryView,
     plan: &CallPlan,
@@ -276,7 +280,7 @@
     }
 }
 
-fn lost(outcome: CallOutcome, detail: &str) -> CallRefusal {
-    let message = format!("{detail}; look up whether it ran before you send it again");
+fn replica_failure(outcome: CallOutcome, detail: &str) -> CallRefusal {
+    let message = format!("{detail}; check whether the request ran before sending it again");
     CallRefusal { code: RefusalCode::ReplicaFailed, message, outcome }
 }
--- a/crates/node/src/entry/call.rs
+++ b/crates/node/src/entry/call.rs
@@ -1,4 +1,5 @@
-//! Running one admitted request: choose a replica, try it, and try another where that is safe.
+//! Running one request: waits for admission, chooses a replica, dispatches to it, and retries on
+//! another replica where that is safe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,23 +24,23 @@
 use super::refusal::{CallRefusal, RefusalCode};
 use super::shared::{EntryShared, EntryView};
 
-/// One request that was let in.
+/// A request that the rules allow, with everything needed to run it.
 #[derive(Debug)]
 pub(super) struct CallPlan {
     pub(super) id: RequestId,
     pub(super) service: ServiceName,
     pub(super) team: TeamName,
     pub(super) trace: TraceContext,
-    /// When the request came.
+    /// Arrival time of the request.
     pub(super) arrived: TimePoint,
     pub(super) target: CallTarget,
     pub(super) body: Vec<u8>,
     pub(super) stream: bool,
-    /// Head of the prompt, for engines.
+    /// Digest of the start of the prompt, for prefix affinity; engines only.
     pub(super) prefix: Option<PrefixDigest>,
-    /// Whether running it twice does no harm.
+    /// Whether it is safe to run the request more than once.
     pub(super) repeatable: bool,
-    /// The rule that decided on admission.
+    /// The rule that decided on admission; `None` for the default.
     pub(super) rule: Option<RuleName>,
     pub(super) admit: AdmitAction,
     pub(super) retry: RetryAction,
@@ -48,26 +49,26 @@
     pub(super) route: RouteAction,
     /// The facts that the rules decided on.
     pub(super) facts: CallFacts,
-    /// Revision of those rules.
+    /// Revision of the rules that made these decisions.
     pub(super) revision: RevisionNumber,
 }
 
-/// Longest time added at random to what a refused caller is told, in percent: callers refused at
-/// one moment must not come back at one moment.
-const RETRY_AFTER_JITTER: u32 = 25;
+/// Upper bound of the random addition to `Retry-After`, in percent of the wait; without it, callers
+/// that were refused together would all retry together.
+const MAX_RETRY_AFTER_JITTER_PERCENT: u32 = 25;
 
-/// Wait that is named when a replica broke before anything ran.
-const NOT_RUN_WAIT: Duration = Duration::from_secs(1);
+/// `Retry-After` of a request that no replica ran.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How one request ended without an answer.
-enum CallEnd {
-    /// Not run; worth another try after this time.
-    Later(CallRefusal, Duration),
-    /// Ended otherwise.
-    Failed(CallRefusal),
+/// Why a request ended without an answer.
+enum CallFailure {
+    /// Not run; the caller may retry after this time.
+    Retryable(CallRefusal, Duration),
+    /// Any other failure, without a suggested time to retry.
+    Other(CallRefusal),
 }
 
-/// Runs `plan` and answers the caller.
+/// Waits for admission, runs `plan` and answers the caller.
 pub(super) fn run_call(shared: &EntryShared, plan: &CallPlan, output: CallerOutput) {
     let arrived = shared.clock.now();
     let deadline = arrived.after(Duration::from_millis(plan.admit.deadline_ms.into()));
@@ -82,10 +83,10 @@
         deadline,
     };
     let entered = shared.gate.enter(&request);
-    shared.load_metrics.queue_seconds.observe(shared.clock.now().since(arrived).as_secs_f64());
+    shared.admission_metrics.queue_seconds.observe(shared.clock.now().since(arrived).as_secs_f64());
     let permit = match entered {
         Ok(permit) => permit,
-        Err(refusal) => return end_call(shared, output, &refuse_entry(&refusal)),
+        Err(refusal) => return refuse_call(shared, output, &admission_failure(&refusal)),
     };
     shared.with_budget(&plan.service, |budget| budget.deposit(plan.retry.budget_percent));
     let run = CallRun {
@@ -97,12 +98,12 @@
         route: plan.route.clone(),
         request,
         deadline,
-        crashes: 0,
+        crash_count: 0,
     };
     run.run(permit, output);
 }
 
-/// One request that holds a slot.
+/// The state of one admitted request, which holds a slot.
 struct CallRun<'a> {
     shared: &'a EntryShared,
     view: Arc<EntryView>,
@@ -113,8 +114,8 @@
     route: RouteAction,
     request: AdmissionRequest<'a>,
     deadline: TimePoint,
-    /// Endpoints that crashed under this request.
-    crashes: usize,
+    /// Number of endpoints that crashed while running this request.
+    crash_count: usize,
 }
 
 impl<'a> CallRun<'a> {
@@ -127,40 +128,40 @@
             delivered: false,
         };
         loop {
-            if let Err(end) = self.renew_decision() {
-                return self.end(permit, output, end);
+            if let Err(failure) = self.refresh_decision() {
+                return self.refuse(permit, output, failure);
             }
             let record = match self.choose(&excluded) {
                 ChoiceOutcome::Chosen(record) => record,
                 ChoiceOutcome::Absent if history.full_refusals == 0 => {
-                    return self.end(permit, output, no_replica(NOT_RUN_WAIT));
+                    return self.refuse(permit, output, no_replica(DEFAULT_RETRY_AFTER));
                 }
-                ChoiceOutcome::Down(wait) => return self.end(permit, output, no_replica(wait)),
+                ChoiceOutcome::Down(wait) => return self.refuse(permit, output, no_replica(wait)),
                 ChoiceOutcome::Full | ChoiceOutcome::Absent => {
-                    match self.wait_again(permit, &mut excluded, &mut history) {
-                        Ok(again) => permit = again,
+                    match self.requeue_request(permit, &mut excluded, &mut history) {
+                        Ok(new_permit) => permit = new_permit,
                         Err(refusal) => {
-                            return end_call(self.shared, output, &refuse_entry(&refusal));
+                            return refuse_call(self.shared, output, &admission_failure(&refusal));
                         }
                     }
                     continue;
                 }
             };
-            let began = self.shared.clock.now();
-            let (end, back) =
+            let started_at = self.shared.clock.now();
+            let (end, returned) =
                 run_attempt(self.shared, &self.view, self.plan, &record, self.deadline, output);
-            let (effect, refusal) = match self.settle(&record, began, end) {
+            let (effect, refusal) = match self.finish_attempt(&record, started_at, end) {
                 None => {
                     permit.finish(true);
-                    self.shared.metrics.ended("answered");
+                    self.shared.metrics.record_outcome("answered");
                     return;
                 }
-                Some(settled) => settled,
+                Some(unanswered) => unanswered,
             };
-            let Some(back) = back else { return };
-            output = back;
+            let Some(returned) = returned else { return };
+            output = returned;
             excluded.push(record.group);
-            history.delivered = !output.is_unseen();
+            history.delivered = !output.is_unsent();
             if effect == AttemptEffect::ReplicaFull {
                 history.full_refusals += 1;
             } else {
@@ -169,32 +170,35 @@
             match self.decide(effect, &history) {
                 RetryDecision::Retry(wait) => std::thread::sleep(wait),
                 RetryDecision::Requeue => {
-                    match self.wait_again(permit, &mut excluded, &mut history) {
-                        Ok(again) => permit = again,
+                    match self.requeue_request(permit, &mut excluded, &mut history) {
+                        Ok(new_permit) => permit = new_permit,
                         Err(refusal) => {
-                            return end_call(self.shared, output, &refuse_entry(&refusal));
+                            return refuse_call(self.shared, output, &admission_failure(&refusal));
                         }
                     }
                 }
                 RetryDecision::Stop(_) => {
                     permit.finish(effect == AttemptEffect::Unknown);
-                    return end_call(self.shared, output, &refusal);
+                    return refuse_call(self.shared, output, &refusal);
                 }
             }
         }
     }
 
-    /// Decides again when the rules have changed since.
+    /// Evaluates the rules again if their revision has changed.
     ///
-    /// A request may wait in the queue for longer than a change takes to be accepted. Sent on
-    /// under the rules of its arrival it would break the promise that these no longer count.
-    fn renew_decision(&mut self) -> Result<(), CallEnd> {
+    /// A request may wait in the queue for longer than a rule change takes to be accepted. Once a
+    /// change is accepted, no request may be dispatched under the previous rules.
+    fn refresh_decision(&mut self) -> Result<(), CallFailure> {
         let view = self.shared.view();
-        if !self.shared.rules_hold(&view) {
-            return Err(CallEnd::Later(CallRefusal::rules_unconfirmed(), NOT_RUN_WAIT));
+        if !self.shared.rules_usable(&view) {
+            return Err(CallFailure::Retryable(
+                CallRefusal::rules_unconfirmed(),
+                DEFAULT_RETRY_AFTER,
+            ));
         }
         if view.book.revision() != self.revision {
-            let decision = self.plan.facts.decide(&view.book).map_err(CallEnd::Failed)?;
+            let decision = self.plan.facts.decide(&view.book).map_err(CallFailure::Other)?;
             let CallDecision { retry, route, .. } = decision;
             self.retry = retry;
             self.route = route;
@@ -214,8 +218,9 @@
         self.shared.replicas().choose(self.shared.clock.now(), &request, &mut rand::rng())
     }
 
-    /// Goes back to the queue; replicas that were full may have room afterwards.
-    fn wait_again(
+    /// Returns the request to the queue and clears the excluded replicas, since those that were
+    /// full may have free slots afterwards.
+    fn requeue_request(
         &self,
         permit: SlotPermit<'a>,
         excluded: &mut Vec<GroupId>,
@@ -226,19 +231,21 @@
         permit.requeue(&self.request)
     }
 
-    /// Counts an attempt off its replica; `None` when the caller has its answer.
-    fn settle(
+    /// Records the end of an attempt in metrics, replica load and crash evidence.
+    ///
+    /// `None` when the caller was answered or has disconnected.
+    fn finish_attempt(
         &mut self,
         record: &GroupRecord,
-        began: TimePoint,
+        started_at: TimePoint,
         end: AttemptEnd,
-    ) -> Option<(AttemptEffect, CallEnd)> {
-        let (name, result, report, rest) = match end {
+    ) -> Option<(AttemptEffect, CallFailure)> {
+        let (name, result, report, failure) = match end {
             AttemptEnd::Answered(load) => {
-                // Without a report the caller went away, which says nothing about the replica.
+                // Without a load report the caller disconnected: no evidence on the replica.
                 let whole = load.is_some();
                 if whole {
-                    self.shared.crashes.ran_whole(self.shared.clock.now(), self.plan);
+                    self.shared.quarantine.record_completion(self.shared.clock.now(), self.plan);
                 }
                 let result = if whole { AttemptResult::Answered } else { AttemptResult::Ended };
                 ("answered", result, load, None)
@@ -248,15 +255,15 @@
             }
             AttemptEnd::Refused(reason, load) => {
                 log::debug!(group = record.group.0; "attempt refused: {reason:?}");
-                let (effect, end) = describe_refusal(reason, load.as_ref());
+                let (effect, failure) = classify_refusal(reason, load.as_ref());
                 let name = if effect == AttemptEffect::ReplicaFull { "bounced" } else { "not_run" };
-                (name, AttemptResult::Refused(reason), load, Some((effect, end)))
+                (name, AttemptResult::Refused(reason), load, Some((effect, failure)))
             }
             AttemptEnd::Failed { refusal, crashed } => {
                 if let Some(endpoint) = crashed {
-                    self.crashes += 1;
+                    self.crash_count += 1;
                     let now = self.shared.clock.now();
-                    self.shared.crashes.crashed(now, began, self.plan, endpoint);
+                    self.shared.quarantine.record_crash(now, started_at, self.plan, endpoint);
                 }
                 let not_run = refusal.outcome == CallOutcome::NotRun;
                 let (name, effect) = if not_run {
@@ -264,25 +271,25 @@
                 } else {
                     ("unknown", AttemptEffect::Unknown)
                 };
-                (name, AttemptResult::Broken, None, Some((effect, CallEnd::Failed(refusal))))
+                (name, AttemptResult::Broken, None, Some((effect, CallFailure::Other(refusal))))
             }
         };
-        self.shared.load_metrics.attempted(name);
+        self.shared.admission_metrics.record_attempt(name);
         let now = self.shared.clock.now();
         let mut replicas = self.shared.replicas();
         replicas.release(now, record.group, result, report.as_ref(), &mut rand::rng());
-        rest
+        failure
     }
 
     fn decide(&self, effect: AttemptEffect, history: &AttemptHistory) -> RetryDecision {
         let suspect = effect == AttemptEffect::Unknown
-            && (self.crashes >= SUSPECT_CRASHES
-                || self.shared.crashes.standing_of(self.plan) != PrintStanding::Clear);
+            && (self.crash_count >= SUSPECT_CRASHES
+                || self.shared.quarantine.standing_of(self.plan) != PrintStanding::Clear);
         let decision = match suspect {
             true => RetryDecision::Stop(StopReason::Suspect),
             false => self.decide_within_budget(effect, history),
         };
-        self.shared.load_metrics.followed(match decision {
+        self.shared.admission_metrics.record_retry_decision(match decision {
             RetryDecision::Retry(_) => "retried",
             RetryDecision::Requeue => "requeued",
             RetryDecision::Stop(StopReason::Unsafe) => "unsafe",
@@ -305,65 +312,68 @@
         })
     }
 
-    /// Gives the slot back, then tells the caller.
-    fn end(&self, permit: SlotPermit<'a>, output: CallerOutput, end: CallEnd) {
+    /// Releases the slot, then refuses the request.
+    fn refuse(&self, permit: SlotPermit<'a>, output: CallerOutput, failure: CallFailure) {
         permit.finish(false);
-        end_call(self.shared, output, &end);
+        refuse_call(self.shared, output, &failure);
     }
 }
 
-fn end_call(shared: &EntryShared, output: CallerOutput, end: &CallEnd) {
-    match end {
-        CallEnd::Later(refusal, wait) if output.is_unseen() => {
-            shared.metrics.ended(refusal.code.as_str());
-            let percent = rand::random_range(0..=RETRY_AFTER_JITTER);
-            output.refuse_until(refusal, *wait + *wait * percent / 100);
+fn refuse_call(shared: &EntryShared, output: CallerOutput, failure: &CallFailure) {
+    match failure {
+        CallFailure::Retryable(refusal, wait) if output.is_unsent() => {
+            shared.metrics.record_outcome(refusal.code.as_str());
+            let percent = rand::random_range(0..=MAX_RETRY_AFTER_JITTER_PERCENT);
+            output.refuse_with_retry_after(refusal, *wait + *wait * percent / 100);
         }
-        CallEnd::Later(refusal, _) | CallEnd::Failed(refusal) => {
-            shared.metrics.ended(refusal.code.as_str());
+        CallFailure::Retryable(refusal, _) | CallFailure::Other(refusal) => {
+            shared.metrics.record_outcome(refusal.code.as_str());
             output.refuse(refusal);
         }
     }
 }
 
-/// What a refusal of an agent means for the request.
-fn describe_refusal(reason: RefusalReason, load: Option<&LoadReport>) -> (AttemptEffect, CallEnd) {
+/// Maps an agent's refusal to its effect on the attempt and to what the caller gets.
+fn classify_refusal(
+    reason: RefusalReason,
+    load: Option<&LoadReport>,
+) -> (AttemptEffect, CallFailure) {
     match reason {
         RefusalReason::DeadlinePassed => {
-            let message = "the replica cannot meet the deadline; allow more time";
+            let message = "the replica cannot meet the deadline; use a longer deadline";
             let refusal = CallRefusal::not_run(RefusalCode::DeadlinePassed, message);
-            (AttemptEffect::NotRun, CallEnd::Failed(refusal))
+            (AttemptEffect::NotRun, CallFailure::Other(refusal))
         }
-        // The agent answered, so the way there and back is all that the attempt cost.
+        // The agent answered, so the attempt cost only a round trip.
         _ if load.is_some() && reason != RefusalReason::EndpointUnreachable => {
-            (AttemptEffect::ReplicaFull, no_replica(NOT_RUN_WAIT))
+            (AttemptEffect::ReplicaFull, no_replica(DEFAULT_RETRY_AFTER))
         }
-        _ => (AttemptEffect::NotRun, no_replica(NOT_RUN_WAIT)),
+        _ => (AttemptEffect::NotRun, no_replica(DEFAULT_RETRY_AFTER)),
     }
 }
 
-fn no_replica(wait: Duration) -> CallEnd {
-    let message = "no whole replica takes the request now; try again after the time in Retry-After";
-    CallEnd::Later(CallRefusal::not_run(RefusalCode::NoReplica, message), wait)
+fn no_replica(wait: Duration) -> CallFailure {
+    let message = "no whole replica can take the request now; retry after the time in Retry-After";
+    CallFailure::Retryable(CallRefusal::not_run(RefusalCode::NoReplica, message), wait)
 }
 
-fn refuse_entry(refusal: &AdmissionRefusal) -> CallEnd {
+fn admission_failure(refusal: &AdmissionRefusal) -> CallFailure {
     let (code, message) = match refusal.cause {
         RefusalCause::TeamQueueFull => (
             RefusalCode::TeamQueueFull,
-            "your team has as many requests waiting as its rule allows; slow down, or come back \
-             after the time in Retry-After",
+            "your team has as many requests waiting as its rule allows; send fewer requests, or \
+             retry after the time in Retry-After",
         ),
         RefusalCause::EntryFull => (
             RefusalCode::Overloaded,
-            "the entry holds as many requests as it can; come back after the time in Retry-After",
+            "the entry has reached its limit of open requests; retry after the time in Retry-After",
         ),
         RefusalCause::TooLate => (
             RefusalCode::TooLate,
-            "the request would not be done before its deadline; come back after the time in \
-             Retry-After, or allow more time",
+            "the request cannot finish before its deadline; retry after the time in \
+             Retry-After, or use a longer deadline",
         ),
         RefusalCause::NoReplica => return no_replica(refusal.retry_after),
     };
-    CallEnd::Later(CallRefusal::not_run(code, message), refusal.retry_after)
+    CallFailure::Retryable(CallRefusal::not_run(code, message), refusal.retry_after)
 }
--- a/crates/node/src/entry/claims.rs
+++ b/crates/node/src/entry/claims.rs
@@ -1,8 +1,8 @@
-//! The entry's stream to the ledger of claims: many calls in flight, answers matched by number.
+//! The entry's client of the ledger of claims.
 //!
-//! Every request is safe to send again: a claim by the same attempt, a completion and a release
-//! change nothing the second time. So an answer that does not come is asked for again, at another
-//! control host if need be.
+//! One stream carries many calls at once, and answers are matched to calls by number. Ledger
+//! requests are idempotent: a claim by the same attempt, a completion and a release change nothing
+//! the second time. A call without an answer is therefore sent again, to the next control host.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,19 +15,19 @@
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
-/// Calls in flight at most; more are refused as though no control host answered.
+/// Maximum number of calls in flight; further calls get `Unavailable` at once.
 const MAX_IN_FLIGHT: usize = 4096;
 
-/// How long one answer is waited for before the call is sent again.
-const ANSWER_WAIT: Duration = Duration::from_millis(1000);
+/// Timeout for an answer, after which the call is sent again.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Wait before the next control host is tried.
-const NEXT_PEER_WAIT: Duration = Duration::from_millis(50);
+/// Delay before the next control host is tried.
+const PEER_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long the reader waits before it looks whether its stream is still the one in use.
-const READ_WAIT: Duration = Duration::from_millis(500);
+/// Interval at which a reader checks whether its stream is still in use.
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks the ledger from any thread.
+/// Sends requests to the ledger; can be used from any thread.
 #[derive(Debug, Clone)]
 pub(super) struct ClaimClient {
     shared: Arc<ClaimShared>,
@@ -42,24 +42,24 @@
     stream: Mutex<ClaimStream>,
 }
 
-/// A call that waits for its answer; dropped when its stream ends.
+/// A call that waits for its answer; dropping it ends the wait.
 #[derive(Debug)]
 struct WaitingCall {
     generation: u64,
     answer: Sender<LedgerReply>,
 }
 
-/// The stream in use; the peer is the next one after a failure.
+/// The stream in use; each failure moves on to the next peer.
 #[derive(Debug, Default)]
 struct ClaimStream {
     peer: usize,
     generation: u64,
     writer: Option<LinkWriter>,
-    since: Option<Instant>,
+    connected_after: Option<Instant>,
 }
 
 impl ClaimClient {
-    /// A client that connects when it is first asked.
+    /// Creates a client, which connects on its first request.
     pub(super) fn start(link: LinkClient, peers: Vec<SocketAddr>) -> std::io::Result<Self> {
         let shared = ClaimShared {
             link,
@@ -71,26 +71,29 @@
         Ok(Self { shared: Arc::new(shared) })
     }
 
-    /// Asks until an answer comes or `limit` has passed; `Unavailable` when none came.
-    pub(super) fn ask(&self, request: &LedgerRequest, limit: Duration) -> LedgerReply {
+    /// Sends `request` until an answer arrives; `Unavailable` when none arrives within `limit`.
+    pub(super) fn submit(&self, request: &LedgerRequest, limit: Duration) -> LedgerReply {
         let started = Instant::now();
         loop {
             let left = limit.saturating_sub(started.elapsed());
             if left.is_zero() {
                 return LedgerReply::Unavailable;
             }
-            let generation = match self.ask_once(request, left.min(ANSWER_WAIT)) {
+            let generation = match self.submit_once(request, left.min(ANSWER_TIMEOUT)) {
                 Ok(LedgerReply::Unavailable) => self.shared.stream().generation,
                 Ok(reply) => return reply,
                 Err(generation) => generation,
             };
-            self.shared.turn_away(generation);
-            std::thread::sleep(NEXT_PEER_WAIT.min(left));
+            self.shared.abandon_stream(generation);
+            std::thread::sleep(PEER_RETRY_DELAY.min(left));
         }
     }
 
-    /// Asks once; the generation of the stream that brought no answer otherwise.
-    fn ask_once(&self, request: &LedgerRequest, wait: Duration) -> Result<LedgerReply, u64> {
+    /// Sends `request` once.
+    ///
+    /// # Errors
+    /// The generation of the stream on which no answer arrived.
+    fn submit_once(&self, request: &LedgerRequest, wait: Duration) -> Result<LedgerReply, u64> {
         let number = self.shared.next_number.fetch_add(1, Ordering::Relaxed);
         let (answer, answers): (_, Receiver<LedgerReply>) = bounded(1);
         let (writer, generation) = self.writer();
@@ -108,13 +111,15 @@
         reply.ok_or(generation)
     }
 
-    /// The stream in use, opened when there is none.
+    /// The stream in use and its generation; opens a stream when there is none.
     fn writer(&self) -> (Option<LinkWriter>, u64) {
         let mut stream = self.shared.stream();
         if stream.writer.is_none() && !self.shared.peers.is_empty() {
             let peer = self.shared.peers[stream.peer % self.shared.peers.len()];
-            let (writer, reader) = match stream.since {
-                Some(since) => self.shared.link.open_since(peer, CallKind::Ledger, since),
+            let (writer, reader) = match stream.connected_after {
+                Some(connected_after) => {
+                    self.shared.link.open_since(peer, CallKind::Ledger, connected_after)
+                }
                 None => self.shared.link.open(peer, CallKind::Ledger),
             };
             stream.generation += 1;
@@ -122,7 +127,9 @@
             let read = move || shared.read_answers(&reader, generation);
             match spawn_worker("ledger", WORKER_STACK_BYTES, read) {
                 Ok(_) => stream.writer = Some(writer),
-                Err(error) => log::error!("cannot ask the ledger: {error}; raise the thread limit"),
+                Err(error) => {
+                    log::error!("cannot start the ledger thread: {error}; raise the thread limit")
+                }
             }
         }
         (stream.writer.clone(), stream.generation)
@@ -138,21 +145,22 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Leaves the stream of `generation` for the next control host, unless that was done before.
-    fn turn_away(&self, generation: u64) {
+    /// Abandons the stream of `generation` and selects the next control host, unless that stream is
+    /// no longer in use.
+    fn abandon_stream(&self, generation: u64) {
         let mut stream = self.stream();
         if stream.generation == generation && stream.writer.is_some() {
             stream.writer = None;
             stream.peer += 1;
-            stream.since = Instant::now().checked_sub(ANSWER_WAIT / 2);
+            stream.connected_after = Instant::now().checked_sub(ANSWER_TIMEOUT / 2);
         }
     }
 
     fn read_answers(&self, reader: &LinkReader, generation: u64) {
         loop {
-            match reader.receive::<LedgerAnswer>(READ_WAIT) {
+            match reader.receive::<LedgerAnswer>(READ_TIMEOUT) {
                 Ok(answer) => {
-                    // An answer that nobody waits for any more was asked for again meanwhile.
+                    // An answer without a waiter belongs to a call that was sent again or given up.
                     if let Some(waiter) = self.waiting().remove(&answer.number) {
                         let _ = waiter.answer.send(answer.reply);
                     }
@@ -161,8 +169,8 @@
                 Err(LinkError::TimedOut) => return,
                 Err(error) => {
                     log::debug!("a ledger stream ended: {error}");
-                    self.turn_away(generation);
-                    // Whoever waits asks the next control host at once.
+                    self.abandon_stream(generation);
+                    // Dropping the calls makes their waiters try the next control host at once.
                     self.waiting().retain(|_, call| call.generation != generation);
                     return;
                 }
--- a/crates/node/src/entry/decide.rs
+++ b/crates/node/src/entry/decide.rs
@@ -1,11 +1,11 @@
-//! What the rules decide about one request.
+//! Evaluates the rules for one request.
 
 use briartray_model::names::{RuleName, ServiceName, TeamName, ZoneName};
 use briartray_model::rules::{AdmitAction, DecisionFacts, RetryAction, RouteAction, RuleBook};
 
 use super::refusal::{CallRefusal, RefusalCode};
 
-/// The facts of one request, kept so that it can be decided on again under newer rules.
+/// The facts of one request, kept so that the rules can be evaluated again after a change.
 #[derive(Debug)]
 pub(super) struct CallFacts {
     pub(super) team: TeamName,
@@ -17,10 +17,10 @@
     pub(super) keyed: bool,
 }
 
-/// What was decided.
+/// What the rules decided.
 #[derive(Debug)]
 pub(super) struct CallDecision {
-    /// The rule that decided on admission.
+    /// The rule that decided on admission; `None` for the default.
     pub(super) rule: Option<RuleName>,
     pub(super) admit: AdmitAction,
     pub(super) retry: RetryAction,
@@ -28,7 +28,7 @@
 }
 
 impl CallFacts {
-    /// Decides under `book`.
+    /// Evaluates the rules of `book`.
     ///
     /// # Errors
     /// A refusal when a rule does not allow the request.
--- a/crates/node/src/entry/gate.rs
+++ b/crates/node/src/entry/gate.rs
@@ -1,8 +1,8 @@
-//! Waiting for a slot: the admission queue with the threads that wait in it.
+//! The admission gate: the admission queue and the threads that wait in it for a slot.
 //!
-//! A waiting request costs its thread, its body, a queue record and a one-message channel; nothing
-//! turns while it waits. One thread steps the queue while requests wait, so that rate limits,
-//! deadlines and lost capacity take effect without any request ending.
+//! A waiting request costs its thread, its body, a queue record and a one-message channel; it
+//! blocks on the channel and does not poll. One thread steps the queue while requests wait, so that
+//! rate limits, deadlines and lost capacity take effect even when no request ends.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -20,26 +20,27 @@
 use crate::ClockReader;
 use crate::metrics::AdmissionMetrics;
 
-/// Time between two steps while requests wait.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval between queue steps while requests wait.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between two looks while none waits.
-const IDLE_TICK: Duration = Duration::from_secs(1);
+/// Interval between checks for waiting requests while there are none.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long past its deadline a verdict is waited for; it comes earlier unless the queue is broken.
+/// How long past its deadline a request waits for a verdict, which comes earlier unless the queue
+/// has a fault.
 const VERDICT_GRACE: Duration = Duration::from_secs(2);
 
-/// Units of a rate of one request per second.
+/// Granted rate units that make up one request per second.
 const RATE_UNITS: f64 = 1000.0;
 
 struct GateState {
     queue: AdmissionQueue,
     waiters: SortedTable<TicketNumber, Sender<AdmissionVerdict>>,
-    /// Whether the gate's thread steps the queue by itself.
+    /// Whether the gate's thread is stepping the queue at the short interval.
     ticking: bool,
 }
 
-/// The gate of one entry.
+/// The admission gate of one entry.
 pub(super) struct AdmissionGate {
     clock: ClockReader,
     metrics: AdmissionMetrics,
@@ -48,15 +49,16 @@
 }
 
 impl AdmissionGate {
-    /// A gate that holds at most `most_held` requests, and its thread.
+    /// Creates a gate that holds at most `max_held` waiting and running requests, and starts its
+    /// thread.
     pub(super) fn start(
         clock: ClockReader,
         metrics: AdmissionMetrics,
-        most_held: usize,
+        max_held: usize,
     ) -> std::io::Result<Arc<Self>> {
         let parker = Parker::new();
         let state = GateState {
-            queue: AdmissionQueue::new(most_held),
+            queue: AdmissionQueue::new(max_held),
             waiters: SortedTable::new(),
             ticking: false,
         };
@@ -68,18 +70,18 @@
                 let Some(gate) = weak.upgrade() else { return };
                 let waits = gate.tick();
                 drop(gate);
-                parker.park_timeout(if waits { TICK } else { IDLE_TICK });
+                parker.park_timeout(if waits { TICK_INTERVAL } else { IDLE_TICK_INTERVAL });
             }
         })?;
         Ok(gate)
     }
 
-    /// Tells the slots of each service; services that are not named have none.
+    /// Sets the number of slots of each service; services that are not listed get none.
     pub(super) fn set_capacities(&self, capacities: &[(briartray_model::names::ServiceName, u64)]) {
         let mut state = self.lock();
-        for gone in state.queue.served() {
-            if !capacities.iter().any(|(service, _)| *service == gone) {
-                state.queue.set_capacity(&gone, 0);
+        for removed in state.queue.served() {
+            if !capacities.iter().any(|(service, _)| *service == removed) {
+                state.queue.set_capacity(&removed, 0);
             }
         }
         for (service, capacity) in capacities {
@@ -88,7 +90,7 @@
         self.step(&mut state);
     }
 
-    /// What this entry could use of each limit, for the next renewal.
+    /// The demand of this entry on each shared limit, reported with the next lease renewal.
     pub(super) fn demands(&self) -> Vec<LimitDemand> {
         let uses = self.lock().queue.limit_usage(self.clock.now());
         uses.into_iter()
@@ -104,7 +106,7 @@
             .collect()
     }
 
-    /// Takes shares of limits, which run out at `until`.
+    /// Applies granted shares of limits, which expire at `until`.
     pub(super) fn grant(&self, shares: &[LimitGrant], until: TimePoint) {
         let mut state = self.lock();
         let now = self.clock.now();
@@ -119,10 +121,10 @@
         }
     }
 
-    /// Waits until the request may run.
+    /// Blocks until the request may run.
     ///
     /// # Errors
-    /// The refusal, as soon as it is known that the request cannot be done in time.
+    /// The refusal, as soon as it is known that the request cannot finish in time.
     pub(super) fn enter(
         &self,
         request: &AdmissionRequest<'_>,
@@ -135,8 +137,8 @@
                 state.queue.register_limit(now, key, counted, rated);
             }
             let offered = state.queue.offer(now, request);
-            let waiting = offered.map(|ticket| (ticket, state.wait_for(ticket)));
-            // An offer may push another request out, also when it is refused itself.
+            let waiting = offered.map(|ticket| (ticket, state.add_waiter(ticket)));
+            // An offer may evict another request, even when it is itself refused.
             self.step(&mut state);
             waiting?
         };
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Steps the queue; tells whether requests wait.
+    /// Steps the queue if requests wait; returns whether some still do.
     fn tick(&self) -> bool {
         let mut state = self.lock();
         if !state.waiters.is_empty() {
@@ -177,7 +179,7 @@
     fn step(&self, state: &mut GateState) {
         for output in state.queue.step(self.clock.now()) {
             if let Some(waiter) = state.waiters.remove(&output.ticket) {
-                // The channel holds one message and gets one; it is never full.
+                // The channel holds one message and is sent one, so it is never full.
                 let _ = waiter.try_send(output.verdict);
             }
         }
@@ -195,14 +197,14 @@
 }
 
 impl GateState {
-    fn wait_for(&mut self, ticket: TicketNumber) -> Receiver<AdmissionVerdict> {
+    fn add_waiter(&mut self, ticket: TicketNumber) -> Receiver<AdmissionVerdict> {
         let (sender, receiver) = bounded(1);
         self.waiters.insert(ticket, sender);
         receiver
     }
 }
 
-/// A slot that one request holds; given back when dropped.
+/// A slot that one request holds; released when dropped.
 pub(super) struct SlotPermit<'a> {
     gate: &'a AdmissionGate,
     ticket: TicketNumber,
@@ -210,12 +212,12 @@
 }
 
 impl<'a> SlotPermit<'a> {
-    /// Gives the slot back; `ran` tells whether a replica ran the request.
+    /// Releases the slot; `ran` is whether a replica ran the request.
     pub(super) fn finish(mut self, ran: bool) {
-        self.give_back(ran);
+        self.release(ran);
     }
 
-    /// Waits again, in front of those that came later: every replica asked was full.
+    /// Waits again, ahead of requests that arrived later, because every replica tried was full.
     ///
     /// # Errors
     /// As [`AdmissionGate::enter`].
@@ -227,14 +229,14 @@
         let verdicts = {
             let mut state = self.gate.lock();
             state.queue.requeue(self.gate.clock.now(), self.ticket);
-            let verdicts = state.wait_for(self.ticket);
+            let verdicts = state.add_waiter(self.ticket);
             self.gate.step(&mut state);
             verdicts
         };
         self.gate.await_verdict(self.ticket, &verdicts, request)
     }
 
-    fn give_back(&mut self, ran: bool) {
+    fn release(&mut self, ran: bool) {
         if !std::mem::replace(&mut self.held, false) {
             return;
         }
@@ -246,6 +248,6 @@
 
 impl Drop for SlotPermit<'_> {
     fn drop(&mut self) {
-        self.give_back(false);
+        self.release(false);
     }
 }
--- a/crates/node/src/entry/mod.rs
+++ b/crates/node/src/entry/mod.rs
@@ -1,14 +1,15 @@
-//! The entry role: takes callers' requests, decides, and relays to a group's first host.
+//! The entry role: accepts callers' requests, applies the rules, and relays each admitted request
+//! to the first host of a group.
 
 mod api;
 mod attempt;
 mod call;
 mod claims;
-mod crashes;
 mod decide;
 mod gate;
-mod once;
+mod idempotency;
 mod output;
+mod quarantine;
 mod refusal;
 mod shared;
 mod watch;
@@ -30,27 +31,27 @@
 use crate::metrics::MetricsHub;
 use crate::trace::TraceHub;
 
-/// Time to connect to an agent.
+/// Timeout for connecting to an agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Time between two looks at the requests that are left.
-const DRAIN_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a draining entry checks for open requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a stopping entry may take to give its lease back.
-const GOODBYE_WAIT: Duration = Duration::from_millis(1500);
+/// Longest time that a stopping entry waits for its lease to be returned.
+const LEASE_RETURN_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A running entry role.
 pub struct EntryNode {
     listener: HttpListener,
     shared: Arc<EntryShared>,
-    watch_end: Receiver<()>,
+    watch_ended: Receiver<()>,
 }
 
 impl EntryNode {
-    /// Starts the entry.
+    /// Starts the listener and the threads of the entry.
     ///
     /// # Errors
-    /// A `DaemonError` when its port cannot be used.
+    /// A `DaemonError` when the port cannot be used or a thread cannot start.
     pub fn start(
         settings: &DaemonSettings,
         role: &EntrySettings,
@@ -67,33 +68,34 @@
         let peers: Vec<_> = settings.cluster.control.iter().map(|peer| peer.link).collect();
         let claims = ClaimClient::start(link.clone(), peers.clone())?;
         let shared = Arc::new(EntryShared::new(settings, role, link, claims, metrics, traces)?);
-        let watch_end = watch::start(Arc::clone(&shared), peers)?;
+        let watch_ended = watch::start(Arc::clone(&shared), peers)?;
         let calls = Arc::clone(&shared);
         let handler = Arc::new(move |request| api::handle(request, &calls));
         let listener = HttpListener::start(role.listen, role.max_open_requests, handler)?;
-        Ok(Self { listener, shared, watch_end })
+        Ok(Self { listener, shared, watch_ended })
     }
 
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Whether the entry would take a request now.
+    /// Whether the entry accepts requests now, as reported on `/readyz`.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Whole groups of `service` as the entry knows them.
+    /// Number of whole groups of `service` in the entry's routing snapshot.
     pub fn whole_groups(&self, service: &str) -> usize {
         let view = self.shared.view();
         let groups = view.snapshot.groups.iter();
         groups.filter(|record| record.whole && record.service.as_str() == service).count()
     }
 
-    /// Says that it is not ready, goes on for `notice` so that the balancer sees it, then refuses
-    /// new requests and finishes open ones. Returns when none is left, or after `limit`; `false`
-    /// when some were left.
+    /// Drains the entry: reports it as not ready, keeps serving for `notice` so that the load
+    /// balancer sees this, then refuses new requests and waits for the open ones to finish.
+    ///
+    /// Returns `true` once no request is open, and `false` when some still are after `limit`.
     pub fn drain(&self, notice: Duration, limit: Duration) -> bool {
         let started = Instant::now();
         self.shared.announce_stop();
@@ -103,17 +105,17 @@
             if self.listener.open_requests() == 0 {
                 return true;
             }
-            std::thread::sleep(DRAIN_CHECK);
+            std::thread::sleep(DRAIN_POLL_INTERVAL);
         }
         false
     }
 
-    /// Takes no more requests; those that run go on.
+    /// Accepts no more requests and returns the rules lease; running requests continue.
     pub fn stop(&self) {
         self.shared.stop();
         self.shared.finish();
-        // The watch gives the lease back; without that, changes would wait for it to run out.
-        let _ = self.watch_end.recv_timeout(GOODBYE_WAIT);
+        // The watch thread returns the lease; otherwise rule changes would wait until it expires.
+        let _ = self.watch_ended.recv_timeout(LEASE_RETURN_TIMEOUT);
         self.listener.stop();
     }
 }
--- a/crates/node/src/entry/output.rs
+++ b/crates/node/src/entry/output.rs
@@ -1,4 +1,4 @@
-//! Writing one answer to its caller, and keeping it where the call runs only once.
+//! Writing an answer to its caller, and recording it for resends of calls that run only once.
 
 use std::io::Result;
 use std::time::Duration;
@@ -16,23 +16,23 @@
 /// Content type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// How a call that runs once ended.
+/// How a call with an idempotency key ended.
 #[derive(Debug)]
-pub(super) enum OnceEnd {
-    /// It ran; the answer is missing when it is too large to keep.
+pub(super) enum KeyedOutcome {
+    /// It ran; `None` when the answer is too large to store.
     Ran(Option<KeptAnswer>),
-    /// It did not run and never will.
+    /// It did not run and will not run later.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// What is told of the end of a call that runs once, before its caller learns of it.
-pub(super) type OnceHook = Box<dyn FnOnce(OnceEnd) + Send>;
+/// Called with the outcome of a call with an idempotency key, before its caller is answered.
+pub(super) type OutcomeHook = Box<dyn FnOnce(KeyedOutcome) + Send>;
 
-/// The answer as it is collected for resends.
+/// Collects the answer for resends.
 struct AnswerRecord {
-    hook: OnceHook,
+    hook: OutcomeHook,
     events: Vec<Vec<u8>>,
     bytes: usize,
 }
@@ -53,20 +53,20 @@
             content_type: EVENT_STREAM.to_owned(),
             body: KeptBody::Events(self.events),
         });
-        (self.hook)(OnceEnd::Ran(kept));
+        (self.hook)(KeyedOutcome::Ran(kept));
     }
 
-    fn whole(self, status: u16, content_type: &str, body: &[u8]) {
+    fn finish_body(self, status: u16, content_type: &str, body: &[u8]) {
         let kept = (body.len() <= MAX_KEPT_ANSWER_BYTES).then(|| KeptAnswer {
             status,
             content_type: content_type.to_owned(),
             body: KeptBody::Whole(body.to_vec()),
         });
-        (self.hook)(OnceEnd::Ran(kept));
+        (self.hook)(KeyedOutcome::Ran(kept));
     }
 }
 
-/// The caller's side of one request.
+/// Writes the answer of one request to its caller.
 pub(super) struct CallerOutput {
     id: RequestId,
     request: Option<Request>,
@@ -76,19 +76,19 @@
     timer: Option<EventTimer>,
 }
 
-/// Times the events of one stream.
+/// Measures the time between the events of one stream.
 struct EventTimer {
     metrics: AdmissionMetrics,
     clock: ClockReader,
-    last: TimePoint,
-    begun: bool,
+    last_event_at: TimePoint,
+    started: bool,
 }
 
 impl EventTimer {
-    fn note(&mut self) {
+    fn observe_event(&mut self) {
         let now = self.clock.now();
-        let passed = now.since(std::mem::replace(&mut self.last, now)).as_secs_f64();
-        if std::mem::replace(&mut self.begun, true) {
+        let passed = now.since(std::mem::replace(&mut self.last_event_at, now)).as_secs_f64();
+        if std::mem::replace(&mut self.started, true) {
             self.metrics.inter_token_seconds.observe(passed);
         } else {
             self.metrics.first_token_seconds.observe(passed);
@@ -108,56 +108,57 @@
         }
     }
 
-    /// Times the events of a stream, the first one from `arrived` on.
-    pub(super) fn timed(
+    /// Measures the times of stream events; the first one counts from `arrived`.
+    pub(super) fn with_timer(
         mut self,
         metrics: &AdmissionMetrics,
         clock: ClockReader,
         arrived: TimePoint,
     ) -> Self {
-        let last = arrived;
-        self.timer = Some(EventTimer { metrics: metrics.clone(), clock, last, begun: false });
+        let last_event_at = arrived;
+        self.timer =
+            Some(EventTimer { metrics: metrics.clone(), clock, last_event_at, started: false });
         self
     }
 
-    /// Collects the answer and tells `hook` how the call ended, before the caller learns of it.
-    pub(super) fn record(&mut self, hook: OnceHook) {
+    /// Records the answer and calls `hook` with the outcome before the caller is answered.
+    pub(super) fn record(&mut self, hook: OutcomeHook) {
         self.record = Some(AnswerRecord { hook, events: Vec::new(), bytes: 0 });
     }
 
-    /// Notes that an attempt ended without a known effect.
+    /// Notes that an attempt ended with an unknown effect.
     ///
-    /// Another replica may be asked after it and refuse. That replica did not run the request, but
-    /// the first one may have, so nothing said later may call it not run.
+    /// A retry on another replica may then be refused there. That replica did not run the request,
+    /// but the first one may have, so a later refusal must not report the request as not run.
     pub(super) fn mark_may_have_run(&mut self) {
         self.may_have_run = true;
     }
 
-    /// Writes one event; the first one writes the head as well.
+    /// Writes one event; the first one also writes the response head.
     ///
     /// # Errors
-    /// The caller has gone and nobody else needs the rest of the answer.
+    /// The caller has disconnected and the answer is not recorded for resends.
     pub(super) fn event(&mut self, data: &[u8]) -> Result<()> {
         if let Some(record) = &mut self.record {
             record.add(data);
         }
         if let Some(timer) = &mut self.timer {
-            timer.note();
+            timer.observe_event();
         }
         let written = self.write_event(data);
-        self.or_recorded(written)
+        self.ignore_if_recorded(written)
     }
 
-    /// Shows whether the caller of a stream that has begun is still there.
+    /// Checks the connection of a caller whose stream has begun by writing a comment to it.
     ///
     /// # Errors
     /// As [`CallerOutput::event`].
     pub(super) fn check_caller(&mut self) -> Result<()> {
         let written = self.events.as_mut().map_or(Ok(()), |events| events.comment("waiting"));
-        self.or_recorded(written)
+        self.ignore_if_recorded(written)
     }
 
-    /// Ends an event stream that is whole.
+    /// Ends a complete event stream with its end mark.
     pub(super) fn finish_events(mut self) -> Result<()> {
         if let Some(record) = self.record.take() {
             record.finish_events();
@@ -166,20 +167,20 @@
         self.events.map_or(Ok(()), EventWriter::finish)
     }
 
-    /// Writes a whole answer.
-    pub(super) fn whole(mut self, status: u16, content_type: &str, body: Vec<u8>) {
+    /// Writes a complete answer that is not a stream.
+    pub(super) fn finish_body(mut self, status: u16, content_type: &str, body: Vec<u8>) {
         if let Some(record) = self.record.take() {
-            record.whole(status, content_type, &body);
+            record.finish_body(status, content_type, &body);
         }
         if let Some(request) = self.request {
             reply_text(request, status, content_type, body);
         }
     }
 
-    /// Writes an answer that was kept from an earlier run.
+    /// Writes the stored answer of an earlier run.
     pub(super) fn replay(mut self, answer: KeptAnswer) -> Result<()> {
         match answer.body {
-            KeptBody::Whole(body) => self.whole(answer.status, &answer.content_type, body),
+            KeptBody::Whole(body) => self.finish_body(answer.status, &answer.content_type, body),
             KeptBody::Events(events) => {
                 for event in events {
                     self.write_event(&event)?;
@@ -190,55 +191,56 @@
         Ok(())
     }
 
-    /// Whether the caller has seen no part of an answer.
-    pub(super) fn is_unseen(&self) -> bool {
+    /// Whether no part of an answer has been sent to the caller.
+    pub(super) fn is_unsent(&self) -> bool {
         self.request.is_some()
     }
 
-    /// Tells the caller, which has seen nothing yet, to come back after `wait`.
-    pub(super) fn refuse_until(mut self, refusal: &CallRefusal, wait: Duration) {
-        let refusal = self.settle_refusal(refusal);
+    /// Refuses the request with `Retry-After` set to `wait`; nothing must have been sent yet.
+    pub(super) fn refuse_with_retry_after(mut self, refusal: &CallRefusal, wait: Duration) {
+        let refusal = self.finalize_refusal(refusal);
         if let Some(request) = self.request {
             reply_json(request, &refusal.reply_after(self.id, wait));
         }
     }
 
-    /// Tells the caller that there is no answer, or that the one it reads is not whole.
+    /// Refuses the request; a stream that has begun ends with an error event instead.
     pub(super) fn refuse(mut self, refusal: &CallRefusal) {
-        let refusal = self.settle_refusal(refusal);
+        let refusal = self.finalize_refusal(refusal);
         if let Some(request) = self.request.take() {
             let reply: JsonReply = refusal.reply(self.id);
             reply_json(request, &reply);
             return;
         }
-        // The stream has begun: it ends with an error event and without its end mark.
+        // The stream has begun, so it ends with an error event and without its end mark.
         let body = refusal.body(self.id).to_string();
         if let Some(mut events) = self.events.take() {
             let ended = events.event(body.as_bytes()).and_then(|()| events.finish());
             if let Err(error) = ended {
-                log::debug!("caller went before its error event: {error}");
+                log::debug!("caller disconnected before its error event: {error}");
             }
         }
     }
 
-    /// The refusal as it may be said, after the ledger was told of it.
-    fn settle_refusal(&mut self, refusal: &CallRefusal) -> CallRefusal {
+    /// Adjusts the outcome of a refusal to all attempts and reports it to the recording hook.
+    fn finalize_refusal(&mut self, refusal: &CallRefusal) -> CallRefusal {
         let mut refusal = refusal.clone();
         if self.may_have_run && refusal.outcome == CallOutcome::NotRun {
             refusal.outcome = CallOutcome::Unknown;
         }
         if let Some(record) = self.record.take() {
             (record.hook)(match refusal.outcome {
-                CallOutcome::NotRun => OnceEnd::NotRun,
-                CallOutcome::Ran => OnceEnd::Ran(None),
-                CallOutcome::Unknown => OnceEnd::Unknown,
+                CallOutcome::NotRun => KeyedOutcome::NotRun,
+                CallOutcome::Ran => KeyedOutcome::Ran(None),
+                CallOutcome::Unknown => KeyedOutcome::Unknown,
             });
         }
         refusal
     }
 
-    /// A call that runs once goes on without its caller, for the resend.
-    fn or_recorded(&mut self, written: Result<()>) -> Result<()> {
+    /// Ignores a write error if the answer is recorded: the call continues without its caller, so
+    /// that a resend gets the whole answer.
+    fn ignore_if_recorded(&mut self, written: Result<()>) -> Result<()> {
         if self.record.is_some() { Ok(()) } else { written }
     }
 
--- a/crates/node/src/entry/crashes.rs
+++ b/crates/node/src/entry/quarantine.rs
@@ -1,4 +1,5 @@
-//! What an entry knows of requests that crash endpoints, and what it reports.
+//! The entry's side of quarantine: refuses requests known to crash endpoints, and collects evidence
+//! about runs for the control host.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,33 +12,36 @@
 
 use super::call::CallPlan;
 
-/// Requests that are refused or suspected, and runs to report.
+/// The quarantined and suspected requests known to this entry, and the run events to report.
 #[derive(Debug)]
-pub(super) struct CrashDesk {
+pub(super) struct QuarantineClient {
     key: PrintKey,
-    state: Mutex<DeskState>,
-    /// Told when there is something to report at once.
-    news: (Sender<()>, Receiver<()>),
+    state: Mutex<QuarantineState>,
+    /// Wakes the renewal when there is an event to report at once.
+    wake_up: (Sender<()>, Receiver<()>),
 }
 
 #[derive(Debug, Default)]
-struct DeskState {
+struct QuarantineState {
     guard: PrintGuard,
     runs: EvidenceLog,
 }
 
-impl CrashDesk {
-    /// A desk that makes prints under `secret`.
+impl QuarantineClient {
+    /// Creates a client that computes fingerprints with the key `secret`.
     pub(super) fn new(secret: &str) -> Self {
-        Self { key: PrintKey::new(secret), state: Mutex::default(), news: bounded(1) }
+        Self { key: PrintKey::new(secret), state: Mutex::default(), wake_up: bounded(1) }
     }
 
-    /// Waits for `pause`, or until there is something to report at once.
+    /// Blocks for `pause`, or until there is an event to report at once.
     pub(super) fn wait(&self, pause: Duration) {
-        let _ = self.news.1.recv_timeout(pause);
+        let _ = self.wake_up.1.recv_timeout(pause);
     }
 
-    /// How a request stands. Prints cost a pass over the body, and are wanted only in times of crashes.
+    /// Standing of a request.
+    ///
+    /// A fingerprint costs a pass over the body, so none is computed while no request is
+    /// quarantined or suspected.
     pub(super) fn standing(&self, path: &str, team: &TeamName, body: &[u8]) -> PrintStanding {
         if !self.state().guard.is_watching() {
             return PrintStanding::Clear;
@@ -46,62 +50,63 @@
         self.state().guard.standing(print)
     }
 
-    /// How the request of `plan` stands.
+    /// Standing of the request of `plan`.
     pub(super) fn standing_of(&self, plan: &CallPlan) -> PrintStanding {
         self.standing(&plan.target.path, &plan.team, &plan.body)
     }
 
-    /// The endpoint crashed while it ran the request of `plan`, in an attempt that began at `began`.
-    pub(super) fn crashed(
+    /// Records that the endpoint crashed while running the request of `plan`, in an attempt that
+    /// began at `started_at`.
+    pub(super) fn record_crash(
         &self,
         now: TimePoint,
-        began: TimePoint,
+        started_at: TimePoint,
         plan: &CallPlan,
         endpoint: IncarnationId,
     ) {
         let print = self.print_of(plan);
         let rule = plan.rule.as_ref().map_or("", RuleName::as_str).to_owned();
-        log::warn!(print:%, endpoint:% = endpoint, rule; "a request ran on an endpoint that crashed");
-        let ran_ms = u64::try_from(now.since(began).as_millis()).unwrap_or(u64::MAX);
+        log::warn!(print:%, endpoint:% = endpoint, rule; "endpoint crashed during a request");
+        let ran_ms = u64::try_from(now.since(started_at).as_millis()).unwrap_or(u64::MAX);
         let end = RunEnd::Crashed { endpoint, ran_ms, rule, team: Some(plan.team.clone()) };
-        self.note(now, print, end);
+        self.record_event(now, print, end);
     }
 
-    /// The request of `plan` ran to its end, which clears it where it was suspected.
-    pub(super) fn ran_whole(&self, now: TimePoint, plan: &CallPlan) {
+    /// Records that the request of `plan` ran to its end, which clears it if it was suspected.
+    pub(super) fn record_completion(&self, now: TimePoint, plan: &CallPlan) {
         if self.standing_of(plan) != PrintStanding::Clear {
             let print = self.print_of(plan);
-            self.note(now, print, RunEnd::Whole);
+            self.record_event(now, print, RunEnd::Whole);
         }
     }
 
-    /// A conversation with another leader may begin with the renewal after `nonce`.
+    /// Notes that renewals after `nonce` may go to another leader.
     pub(super) fn begin_leader(&self, nonce: u64) {
         self.state().runs.begin_leader(nonce);
     }
 
-    /// What the next renewal tells, and the view that is held.
+    /// The run events for the next renewal, and the version of the quarantine view held here.
     pub(super) fn events_to_report(&self, now: TimePoint) -> (Vec<RunEvent>, ViewVersion) {
         let state = self.state();
         (state.runs.events_to_report(now), state.guard.version())
     }
 
-    /// A confirmed leader has answered the renewal with `nonce`.
-    pub(super) fn answered(&self, nonce: u64, view: Option<PrintView>) {
+    /// Handles the answer of a confirmed leader to the renewal with `nonce`.
+    pub(super) fn on_renewal_answer(&self, nonce: u64, view: Option<PrintView>) {
         let mut state = self.state();
         state.runs.confirmed(nonce);
         let Some(view) = view else { return };
         let (quarantined, suspects) = (view.quarantined.len(), view.suspects.len());
-        log::info!(quarantined, suspects; "the quarantine has changed");
+        log::info!(quarantined, suspects; "adopted a new quarantine view");
         for print in state.guard.adopt(view) {
             state.runs.forget(print);
         }
     }
 
-    fn note(&self, now: TimePoint, print: RequestPrint, end: RunEnd) {
+    fn record_event(&self, now: TimePoint, print: RequestPrint, end: RunEnd) {
         self.state().runs.note(now, print, end);
-        // One word that waits is enough.
-        let _ = self.news.0.try_send(());
+        // One pending wake-up is enough, so a full channel is no error.
+        let _ = self.wake_up.0.try_send(());
     }
 
     fn print_of(&self, plan: &CallPlan) -> RequestPrint {
@@ -109,11 +114,11 @@
     }
 
     fn print(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestPrint {
-        // Callers reach every entry by any host name, and are told apart by their teams.
+        // Callers may use any host name for an entry, so only the team distinguishes them.
         self.key.print(&PrintParts { host: "", path, team: Some(team.as_str()), body })
     }
 
-    fn state(&self) -> MutexGuard<'_, DeskState> {
+    fn state(&self) -> MutexGuard<'_, QuarantineState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/node/src/entry/refusal.rs
+++ b/crates/node/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it gets no answer.
+//! Refusals: the reply that a caller gets instead of an answer.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 pub enum RefusalCode {
     /// The path is not served.
     UnknownPath,
-    /// The method does not fit the path.
+    /// The path does not accept the method.
     WrongMethod,
     /// The body is too large.
     BodyTooLarge,
-    /// The body is not what the call needs.
+    /// The body is not valid for the path.
     BadRequest,
     /// The model is not offered.
     UnknownModel,
@@ -26,40 +26,40 @@
     UnknownTeam,
     /// A rule forbids the request.
     Forbidden,
-    /// The entry's rules are not confirmed.
+    /// The entry cannot confirm that its rules are in force.
     RulesUnconfirmed,
-    /// No whole replica takes the request now.
+    /// No whole replica can take the request now.
     NoReplica,
-    /// The replica broke off.
+    /// The replica failed during the request.
     ReplicaFailed,
     /// The deadline passed.
     DeadlinePassed,
     /// The entry is stopping.
     Stopping,
-    /// The call needs an `Idempotency-Key`, or the one it has cannot be used.
+    /// The `Idempotency-Key` is required and missing, or is invalid.
     BadKey,
-    /// The key was used with another body.
+    /// The key was used with another method, path or body.
     KeyReused,
     /// The key was claimed before and its outcome is not known.
     InProgress,
-    /// The call under this key ran; its answer is not kept.
+    /// The call with this key ran; its answer is not stored.
     AnswerNotKept,
     /// The ledger of claims does not answer.
     LedgerUnavailable,
-    /// The ledger holds as many claims as it may.
+    /// The ledger has reached its limit of claims.
     LedgerFull,
-    /// As many requests of the team wait as its rule allows.
+    /// The team has reached its limit of waiting requests.
     TeamQueueFull,
-    /// The entry holds as many requests as it can.
+    /// The entry has reached its limit of requests.
     Overloaded,
-    /// The request would not be done before its deadline.
+    /// The request cannot finish before its deadline.
     TooLate,
-    /// Copies of the request crashed the replicas that ran them.
+    /// Earlier runs of the request crashed their replicas.
     Quarantined,
 }
 
 impl RefusalCode {
-    /// The code as callers see it.
+    /// The stable code in replies and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownPath => "unknown_path",
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Whether the same request might have been let in at another time.
-    pub(super) fn may_pass(self) -> bool {
+    /// Whether the refusal depends on the rules or the state of the entry, so that the same request
+    /// may have been admitted earlier.
+    pub(super) fn depends_on_state(self) -> bool {
         matches!(
             self,
             Self::UnknownModel
@@ -125,14 +126,14 @@
     }
 }
 
-/// One refusal.
+/// One refusal of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallRefusal {
     /// Stable code.
     pub code: RefusalCode,
-    /// What to do about it.
+    /// What happened and what the caller can do.
     pub message: String,
-    /// Effect of the request.
+    /// Whether the request ran.
     pub outcome: CallOutcome,
 }
 
@@ -142,20 +143,20 @@
         Self { code, message: message.to_owned(), outcome: CallOutcome::NotRun }
     }
 
-    /// A refusal because the entry's rules are not confirmed.
+    /// A refusal because the entry cannot confirm that its rules are in force.
     pub fn rules_unconfirmed() -> Self {
-        let message = "this entry cannot confirm its rules; try again in a second";
+        let message = "this entry cannot confirm its rules; retry in a second";
         Self::not_run(RefusalCode::RulesUnconfirmed, message)
     }
 
-    /// A refusal because the request crashes replicas.
+    /// A refusal because earlier runs of the request crashed their replicas.
     pub fn quarantined() -> Self {
-        let message = "it crashed the replicas that ran it; change it, or ask the operators to lift \
-                       its quarantine";
+        let message = "this request crashed the replicas that ran it; change it, or ask the \
+                       operators to lift its quarantine";
         Self::not_run(RefusalCode::Quarantined, message)
     }
 
-    /// A failure whose effect is not known.
+    /// A failure after which it is unknown whether the request ran.
     pub fn unknown(code: RefusalCode, message: &str) -> Self {
         Self { code, message: message.to_owned(), outcome: CallOutcome::Unknown }
     }
@@ -165,7 +166,7 @@
         Self { code, message: message.to_owned(), outcome: CallOutcome::Ran }
     }
 
-    /// The body of the refusal.
+    /// The JSON body of the reply.
     pub fn body(&self, request: RequestId) -> Value {
         json!({
             "code": self.code.as_str(),
@@ -180,12 +181,12 @@
         })
     }
 
-    /// The whole reply, with `Retry-After` where trying again makes sense.
+    /// The reply, with a fixed `Retry-After` where a retry may succeed.
     pub fn reply(&self, request: RequestId) -> JsonReply {
         let reply = JsonReply::new(self.code.status(), self.body(request))
             .with_header("X-Request-Id", request.to_string());
         if self.code == RefusalCode::Quarantined {
-            // Only an operator or a new version of the engine helps.
+            // Only an operator or a new engine version can resolve it; an early retry cannot help.
             reply.with_header("Retry-After", "60".to_owned())
         } else if self.code.status() == 503 || self.code == RefusalCode::InProgress {
             reply.with_header("Retry-After", "1".to_owned())
@@ -194,11 +195,11 @@
         }
     }
 
-    /// The whole reply, which asks the caller to come back after `wait`.
+    /// The reply with `Retry-After` set to `wait`.
     pub fn reply_after(&self, request: RequestId, wait: Duration) -> JsonReply {
         let mut body = self.body(request);
         body["retry_after_ms"] = json!(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX));
-        // The header knows whole seconds only; rounding down would bring callers back too early.
+        // The header is in whole seconds; rounding down would make callers retry too early.
         let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
         JsonReply::new(self.code.status(), body)
             .with_header("X-Request-Id", request.to_string())
--- a/crates/node/src/entry/shared.rs
+++ b/crates/node/src/entry/shared.rs
@@ -1,5 +1,7 @@
-//! What the entry's threads share: an immutable view that is swapped as a whole, and the load of
-//! replicas.
+//! State shared by the entry's threads.
+//!
+//! Rules and routing are an immutable view that is swapped atomically as a whole; the load of
+//! replicas changes with every request and is kept under a lock.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,29 +18,31 @@
 use briartray_routing::retry::RetryBudget;
 
 use super::claims::ClaimClient;
-use super::crashes::CrashDesk;
 use super::gate::AdmissionGate;
+use super::quarantine::QuarantineClient;
 use crate::metrics::{AdmissionMetrics, MetricsHub, ProcessMetrics, RequestMetrics};
 use crate::trace::TraceHub;
 use crate::{ClockReader, new_incarnation};
 
-/// Part of the open requests that may wait or run, in percent; the rest is kept for requests that
-/// are refused at once, so that a full entry still answers.
-const HELD_PERCENT: u32 = 90;
+/// Share of the open requests that may wait or run, in percent.
+///
+/// The rest is reserved for requests that are refused immediately, so that a full entry still
+/// answers.
+const MAX_HELD_PERCENT: u32 = 90;
 
-/// What the entry decides on.
+/// The rules and routing data that the entry decides on.
 #[derive(Debug, Default)]
 pub(super) struct EntryView {
     pub(super) snapshot: Arc<RoutingSnapshot>,
     pub(super) book: Arc<RuleBook>,
-    /// Until when the rules may be used; `None` before the first confirmation.
+    /// Lease window in which the rules may be used; `None` before the first confirmation.
     pub(super) window: Option<LeaseWindow>,
 }
 
 /// State shared between the threads of one entry.
 pub(super) struct EntryShared {
     pub(super) node: NodeName,
-    /// Number of this start of the process.
+    /// Random identity of this run of the process.
     pub(super) incarnation: u64,
     pub(super) zone: ZoneName,
     pub(super) settings: EntrySettings,
@@ -47,16 +51,16 @@
     pub(super) claims: ClaimClient,
     pub(super) hub: MetricsHub,
     pub(super) metrics: RequestMetrics,
-    pub(super) process: ProcessMetrics,
+    pub(super) process_metrics: ProcessMetrics,
     pub(super) traces: TraceHub,
     view: ArcSwap<EntryView>,
     replicas: Mutex<ReplicaTable>,
     pub(super) gate: Arc<AdmissionGate>,
-    pub(super) load_metrics: AdmissionMetrics,
-    /// Requests that crash endpoints.
-    pub(super) crashes: CrashDesk,
+    pub(super) admission_metrics: AdmissionMetrics,
+    /// Tracks requests that crash endpoints.
+    pub(super) quarantine: QuarantineClient,
     budgets: Mutex<SortedTable<ServiceName, RetryBudget>>,
-    /// Whether the balancer is told to send nothing more.
+    /// Whether the entry reports itself as not ready so that the load balancer stops sending.
     stop_announced: AtomicBool,
     stopped: AtomicBool,
     finished: AtomicBool,
@@ -72,9 +76,10 @@
         traces: &TraceHub,
     ) -> std::io::Result<Self> {
         let clock = ClockReader::start();
-        let load_metrics = hub.add(AdmissionMetrics::register);
-        let most_held = role.max_open_requests / 100 * HELD_PERCENT;
-        let gate = AdmissionGate::start(clock, load_metrics.clone(), most_held.max(1) as usize)?;
+        let admission_metrics = hub.add(AdmissionMetrics::register);
+        let max_held = role.max_open_requests / 100 * MAX_HELD_PERCENT;
+        let gate =
+            AdmissionGate::start(clock, admission_metrics.clone(), max_held.max(1) as usize)?;
         Ok(Self {
             node: settings.node.clone(),
             incarnation: new_incarnation(),
@@ -85,13 +90,13 @@
             claims,
             hub: hub.clone(),
             metrics: hub.add(RequestMetrics::register),
-            process: hub.add(ProcessMetrics::register),
+            process_metrics: hub.add(ProcessMetrics::register),
             traces: traces.clone(),
             view: ArcSwap::from_pointee(EntryView::default()),
             replicas: Mutex::new(ReplicaTable::new(&settings.zone)),
             gate,
-            load_metrics,
-            crashes: CrashDesk::new(&settings.cluster.token),
+            admission_metrics,
+            quarantine: QuarantineClient::new(&settings.cluster.token),
             budgets: Mutex::new(SortedTable::new()),
             stop_announced: AtomicBool::new(false),
             stopped: AtomicBool::new(false),
@@ -113,15 +118,15 @@
             drop(replicas);
             self.gate.set_capacities(&capacities);
         }
-        self.process.rules_revision.set(gauge_value(view.snapshot.revision.0));
+        self.process_metrics.rules_revision.set(gauge_value(view.snapshot.revision.0));
         let now = self.clock.now();
         let left = view.window.map(|window| window.confirmed_until.since(now).as_millis());
-        self.process.rules_lease_ms.set(gauge_value(left.unwrap_or(0)));
-        self.process.spans_dropped.set(gauge_value(self.traces.dropped()));
+        self.process_metrics.rules_lease_ms.set(gauge_value(left.unwrap_or(0)));
+        self.process_metrics.spans_dropped.set(gauge_value(self.traces.dropped()));
         self.view.store(Arc::new(view));
     }
 
-    /// Decides with the retry budget of `service`.
+    /// Calls `decide` with the retry budget of `service`.
     pub(super) fn with_budget<T>(
         &self,
         service: &ServiceName,
@@ -143,7 +148,7 @@
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Nothing more is decided from now on; the lease is given back.
+    /// Ends all decisions, so that the watch thread returns the lease.
     pub(super) fn finish(&self) {
         self.finished.store(true, Ordering::SeqCst);
     }
@@ -156,8 +161,9 @@
         self.stopped.load(Ordering::SeqCst)
     }
 
-    /// Whether decisions may be made on `view` now.
-    pub(super) fn rules_hold(&self, view: &EntryView) -> bool {
+    /// Whether decisions may be made on `view` now: its lease holds, or the settings allow serving
+    /// without one.
+    pub(super) fn rules_usable(&self, view: &EntryView) -> bool {
         let Some(window) = view.window else { return false };
         window.state(self.clock.now()) != HolderState::Lapsed
             || self.settings.when_rules_unconfirmed == UnconfirmedPolicy::Serve
@@ -167,12 +173,12 @@
         let view = self.view();
         !self.is_stopped()
             && !self.stop_announced.load(Ordering::SeqCst)
-            && self.rules_hold(&view)
+            && self.rules_usable(&view)
             && view.snapshot.groups.iter().any(|record| record.whole)
     }
 }
 
-/// A number as gauges hold it.
+/// Converts a number for a gauge; too large ones become the maximum.
 fn gauge_value(number: impl TryInto<i64>) -> i64 {
     number.try_into().unwrap_or(i64::MAX)
 }
--- a/crates/node/src/entry/watch.rs
+++ b/crates/node/src/entry/watch.rs
@@ -1,4 +1,5 @@
-//! Keeping the entry's view up to date under a rules lease.
+//! The watch thread: renews the rules lease at a control host and keeps the entry's view up to
+//! date.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,13 +15,13 @@
 
 use super::shared::{EntryShared, EntryView};
 
-/// Time between renewals.
+/// Interval between lease renewals.
 const RENEW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long one answer is waited for before another control host is asked.
-const ANSWER_WAIT: Duration = Duration::from_millis(1000);
+/// Timeout for an answer, after which the next control host is tried.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Starts the thread that watches control; the receiver ends once the thread has.
+/// Starts the watch thread; the receiver disconnects when the thread ends.
 pub(super) fn start(
     shared: Arc<EntryShared>,
     peers: Vec<SocketAddr>,
@@ -33,8 +34,8 @@
                 break;
             }
             let stream = shared.link.open(*peer, CallKind::Watch);
-            if let Err(error) = renew_all(&shared, &stream, &mut holder) {
-                log::info!("watch of control at {peer} ended: {error}");
+            if let Err(error) = renew_until_closed(&shared, &stream, &mut holder) {
+                log::info!("watch stream to {peer} ended: {error}; trying the next host");
             }
             std::thread::sleep(RENEW_INTERVAL);
         }
@@ -44,27 +45,28 @@
     Ok(end)
 }
 
-/// Renews on one stream until it fails or the entry has finished; then says goodbye, so that
-/// changes need not wait for the lease to run out.
-fn renew_all(
+/// Renews the lease on one stream until the stream fails or the entry has finished.
+///
+/// A finished entry returns its lease, so that rule changes need not wait until it expires.
+fn renew_until_closed(
     shared: &EntryShared,
     stream: &(LinkWriter, LinkReader),
     holder: &mut LeaseHolder,
 ) -> Result<(), LinkError> {
     let (writer, reader) = stream;
-    shared.crashes.begin_leader(holder.last_nonce().0);
+    shared.quarantine.begin_leader(holder.last_nonce().0);
     while !shared.is_finished() {
         let sent = shared.clock.now();
         let nonce = holder.start_renewal(sent);
         writer.send(&renewal(shared, nonce, false))?;
-        let reply: WatchReply = reader.receive(ANSWER_WAIT)?;
+        let reply: WatchReply = reader.receive(ANSWER_TIMEOUT)?;
         if !holder.accept_grant(reply.nonce, reply.terms) {
             continue;
         }
-        shared.crashes.answered(reply.nonce.0, reply.prints.clone());
+        shared.quarantine.on_renewal_answer(reply.nonce.0, reply.prints.clone());
         shared.gate.grant(&reply.shares, sent.after(reply.terms.confirmed()));
         adopt(shared, &reply, holder);
-        shared.crashes.wait(RENEW_INTERVAL);
+        shared.quarantine.wait(RENEW_INTERVAL);
     }
     let nonce = holder.start_renewal(shared.clock.now());
     writer.send(&renewal(shared, nonce, true))
@@ -72,7 +74,7 @@
 
 fn renewal(shared: &EntryShared, nonce: LeaseNonce, leaving: bool) -> WatchRequest {
     let view = shared.view();
-    let (runs, prints) = shared.crashes.events_to_report(shared.clock.now());
+    let (runs, prints) = shared.quarantine.events_to_report(shared.clock.now());
     WatchRequest {
         node: shared.node.clone(),
         nonce,
@@ -92,7 +94,7 @@
     let newer = match &reply.snapshot {
         None => None,
         Some(SnapshotUpdate::Whole(whole)) => Some(whole.clone()),
-        // Changes from another version are left: the next renewal says which one is held.
+        // Changes to another version are ignored: the next renewal reports the version held.
         Some(SnapshotUpdate::Changes(change)) => before.snapshot.after(change),
     };
     let Some(mut snapshot) = newer else {
@@ -109,6 +111,6 @@
             log::debug!(version = snapshot.version; "snapshot adopted");
             shared.adopt(EntryView { snapshot: Arc::new(snapshot), book: Arc::new(book), window });
         }
-        Err(error) => log::error!("rules from control do not load: {error}"),
+        Err(error) => log::error!("cannot load rules from control, keeping the old ones: {error}"),
     }
 }
--- a/crates/node/src/ids.rs
+++ b/crates/node/src/ids.rs
@@ -1,28 +1,28 @@
-//! Fresh random identities.
+//! Random identities.
 
 use briartray_model::names::{AttemptId, ChangeId, RequestId};
 
-/// An attempt id that no other attempt has.
+/// Creates a unique attempt id.
 pub fn new_attempt() -> AttemptId {
     AttemptId(rand::random())
 }
 
-/// A request id that no other request has.
+/// Creates a unique request id.
 pub fn new_request() -> RequestId {
     RequestId(rand::random())
 }
 
-/// A change id that no other change has.
+/// Creates a unique change id.
 pub fn new_change() -> ChangeId {
     ChangeId(rand::random())
 }
 
-/// A number that tells one start of a process from the next.
+/// Creates a number that distinguishes this run of a process from earlier ones.
 pub fn new_incarnation() -> u64 {
     rand::random()
 }
 
-/// A span id, never zero.
-pub fn new_span() -> u64 {
+/// Creates a span id, never zero.
+pub fn new_span_id() -> u64 {
     rand::random::<u64>().max(1)
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,7 @@
-//! The roles of the daemon: entry, control and agent, with the input and output around their
-//! decisions.
+//! The roles of the daemon: entry, control and agent.
+//!
+//! This crate does the input and output (HTTP, links, threads, clocks, files); the decisions
+//! themselves are made by the crates that it drives.
 
 pub mod agent;
 mod clock;
@@ -14,4 +16,4 @@
 
 pub use clock::ClockReader;
 pub use daemon::{DaemonError, RunningDaemon};
-pub use ids::{new_attempt, new_change, new_incarnation, new_request, new_span};
+pub use ids::{new_attempt, new_change, new_incarnation, new_request, new_span_id};
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,5 +1,6 @@
-//! Logs as JSON lines, one schema for every line:
-//! `time`, `level`, `target`, `message`, `trace_id` and `fields`.
+//! Logging as JSON lines.
+//!
+//! Every line has the keys `time`, `level`, `target`, `message`, `trace_id` and `fields`.
 
 use std::io::Write;
 use std::time::SystemTime;
@@ -12,12 +13,13 @@
 use crate::timestamp::format_utc;
 use crate::trace::current_trace;
 
-/// Starts logging at `level`; a second start in one process changes nothing.
+/// Starts logging to standard error with the filter `level`; further calls in one process have no
+/// effect.
 pub fn start(level: &str) {
     start_to(level, Target::Stderr);
 }
 
-/// As [`start`], on standard output, where platforms collect the logs of their processes.
+/// Like [`start`], but to standard output, where platforms collect the logs of processes.
 pub fn start_on_output(level: &str) {
     start_to(level, Target::Stdout);
 }
@@ -30,7 +32,7 @@
         .try_init();
 }
 
-/// One line for `record`, without its end.
+/// Formats `record` as one JSON line, without the line end.
 pub fn format_line(time: SystemTime, record: &Record<'_>) -> String {
     let mut fields = FieldCollector(Map::new());
     let _ = record.key_values().visit(&mut fields);
@@ -49,21 +51,22 @@
 
 impl<'kvs> VisitSource<'kvs> for FieldCollector {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        self.0.insert(key.as_str().to_owned(), as_json(&value));
+        self.0.insert(key.as_str().to_owned(), to_json(&value));
         Ok(())
     }
 }
 
-/// Numbers and truth values stay what they are, so that a reader can compare them.
-fn as_json(value: &Value<'_>) -> serde_json::Value {
+/// Converts a value to JSON; numbers and booleans keep their type, so that log tools can compare
+/// them.
+fn to_json(value: &Value<'_>) -> serde_json::Value {
     if let Some(number) = value.to_u64() {
         json!(number)
     } else if let Some(number) = value.to_i64() {
         json!(number)
     } else if let Some(number) = value.to_f64() {
         json!(number)
-    } else if let Some(truth) = value.to_bool() {
-        json!(truth)
+    } else if let Some(boolean) = value.to_bool() {
+        json!(boolean)
     } else {
         json!(value.to_string())
     }
--- a/crates/node/src/metrics/admission.rs
+++ b/crates/node/src/metrics/admission.rs
@@ -1,4 +1,4 @@
-//! What an entry counts about admission, choice and retries.
+//! Metrics of an entry about admission, replica choice and retries.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -7,41 +7,41 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Label of a decision: the rule that made it, or `default`.
+/// Label of an admission decision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RuleLabel {
-    /// Name of the rule.
+    /// Name of the rule that decided, or `default`.
     pub rule: String,
 }
 
-/// Label of an attempt that ended.
+/// Label of a finished attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AttemptLabel {
     /// `answered`, `bounced`, `not_run` or `unknown`.
     pub effect: &'static str,
 }
 
-/// Label of what followed an attempt without an answer.
+/// Label of the decision after an attempt without an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RetryLabel {
-    /// `retried`, `requeued`, or why it stopped.
+    /// `retried`, `requeued`, or the reason for giving up.
     pub decision: &'static str,
 }
 
-/// Metrics of one entry's decisions under load.
+/// Metrics of an entry about admission, attempts and retries.
 #[derive(Debug, Clone)]
 pub struct AdmissionMetrics {
-    /// Time from arrival to the start of the first attempt, in seconds.
+    /// Time that a request waits for its first slot or refusal, in seconds.
     pub queue_seconds: Histogram,
-    /// Admissions by the rule that decided.
+    /// Admission decisions by rule.
     pub decisions: Family<RuleLabel, Counter>,
-    /// Attempts by what became of them.
+    /// Finished attempts by effect.
     pub attempts: Family<AttemptLabel, Counter>,
-    /// What followed attempts without an answer.
+    /// Decisions after attempts without an answer.
     pub retries: Family<RetryLabel, Counter>,
-    /// Requests that wait now.
+    /// Number of requests that wait for a slot.
     pub waiting: Gauge,
-    /// Requests that hold a slot now.
+    /// Number of requests that hold a slot.
     pub running: Gauge,
     /// Time from arrival to the first event of a stream, in seconds.
     pub first_token_seconds: Histogram,
@@ -50,7 +50,7 @@
 }
 
 impl AdmissionMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self {
             queue_seconds: Histogram::new(exponential_buckets(0.001, 2.0, 17)),
@@ -74,19 +74,19 @@
         metrics
     }
 
-    /// Counts one admission decided by `rule`.
-    pub fn decided(&self, rule: Option<&str>) {
+    /// Counts one admission decision by `rule`; `None` is the default.
+    pub fn record_decision(&self, rule: Option<&str>) {
         let rule = rule.unwrap_or("default").to_owned();
         self.decisions.get_or_create(&RuleLabel { rule }).inc();
     }
 
-    /// Counts one attempt that ended with `effect`.
-    pub fn attempted(&self, effect: &'static str) {
+    /// Counts one finished attempt with `effect`.
+    pub fn record_attempt(&self, effect: &'static str) {
         self.attempts.get_or_create(&AttemptLabel { effect }).inc();
     }
 
     /// Counts one decision after an attempt without an answer.
-    pub fn followed(&self, decision: &'static str) {
+    pub fn record_retry_decision(&self, decision: &'static str) {
         self.retries.get_or_create(&RetryLabel { decision }).inc();
     }
 }
--- a/crates/node/src/metrics/agreement.rs
+++ b/crates/node/src/metrics/agreement.rs
@@ -1,4 +1,4 @@
-//! What a control host counts about the replicated log.
+//! Metrics of a control host about the replicated log.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Shortest sync that has a bucket of its own, in seconds.
+/// Upper bound of the first bucket for sync times, in seconds.
 const SYNC_BUCKET_START: f64 = 0.0001;
 
-/// Buckets for the time of a sync; each is twice as long as the one before.
+/// Number of buckets for sync times; each bound is twice the previous one.
 const SYNC_BUCKETS: u16 = 16;
 
 type NumberGauge = Gauge<u64, AtomicU64>;
@@ -31,7 +31,7 @@
 }
 
 impl AgreementMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub fn register(registry: &mut Registry) -> Self {
         let buckets = exponential_buckets(SYNC_BUCKET_START, 2.0, SYNC_BUCKETS);
         let metrics = Self {
@@ -56,7 +56,7 @@
         metrics
     }
 
-    /// Takes over where `core` stands.
+    /// Sets the gauges from the state of `core`.
     pub fn note(&self, core: &AgreementCore) {
         let role = core.role();
         self.term.set(core.term().0);
@@ -67,12 +67,12 @@
         self.durable.set(core.durable().0);
     }
 
-    /// Counts one write and sync.
+    /// Records the time of one write and sync to disk.
     pub fn synced(&self, time: Duration) {
         self.sync.observe(time.as_secs_f64());
     }
 
-    /// Counts a snapshot that replaced the state.
+    /// Counts a snapshot that replaced the local state.
     pub fn restored(&self) {
         self.restores.inc();
     }
--- a/crates/node/src/metrics/groups.rs
+++ b/crates/node/src/metrics/groups.rs
@@ -1,4 +1,4 @@
-//! Group downtime and stranded accelerators as a leader sees them.
+//! Metrics of group downtime and stranded accelerators, kept by the leader.
 
 use std::sync::atomic::AtomicU64;
 
@@ -9,26 +9,26 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// One service.
+/// Label of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabel {
-    /// Its name.
+    /// Name of the service.
     pub service: String,
 }
 
-/// One service and why accelerators are stranded.
+/// Label of stranded accelerators.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StrandedLabel {
-    /// Its name.
+    /// Name of the service.
     pub service: String,
-    /// The reason.
+    /// Why the accelerators are stranded.
     pub reason: &'static str,
 }
 
 type SecondsCounter = Counter<f64, AtomicU64>;
 type AmountGauge = Gauge<f64, AtomicU64>;
 
-/// What a control host counts about groups; it stands still while another host leads.
+/// Metrics of a control host about groups; not updated while another host leads.
 #[derive(Debug, Clone, Default)]
 pub struct GroupMetrics {
     down: Family<ServiceLabel, AmountGauge>,
@@ -38,7 +38,7 @@
 }
 
 impl GroupMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register("groups_down", "Wanted groups that do not serve", metrics.down.clone());
@@ -60,7 +60,7 @@
         metrics
     }
 
-    /// Counts `seconds` during which `rates` held.
+    /// Adds `seconds` at the given `rates` to the counters.
     pub fn count(&self, rates: &FleetRates, seconds: f64) {
         for (name, account) in rates.services() {
             let service = name.as_str().to_owned();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Shows what holds now.
+    /// Sets the gauges to the current `rates`.
     pub fn show(&self, rates: &FleetRates) {
         for (name, account) in rates.services() {
             let service = name.as_str().to_owned();
--- a/crates/node/src/metrics/mod.rs
+++ b/crates/node/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Metrics of one process, in the Prometheus text format.
 //!
-//! Each area has a file of its own with a struct of its metrics and a `register` function; the
-//! struct is kept where the area counts.
+//! Each area has its own module with a struct of metrics and a `register` function; the code of the
+//! area holds the struct and updates it.
 
 mod admission;
 mod agreement;
@@ -37,17 +37,17 @@
 }
 
 impl MetricsHub {
-    /// Lets `register` add an area's metrics.
+    /// Calls `register` with the registry and returns its result.
     pub fn add<T>(&self, register: impl FnOnce(&mut Registry) -> T) -> T {
         register(&mut self.registry.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Every metric as text.
+    /// Renders all metrics in the OpenMetrics text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(error) = encode(&mut text, &registry) {
-            log::error!("metrics cannot be written: {error}");
+            log::error!("metrics cannot be rendered: {error}; the answer is incomplete");
         }
         text
     }
--- a/crates/node/src/metrics/process.rs
+++ b/crates/node/src/metrics/process.rs
@@ -1,4 +1,4 @@
-//! What a process counts about itself.
+//! Metrics of a process about itself.
 
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
@@ -6,16 +6,16 @@
 /// Gauges of one process.
 #[derive(Debug, Clone, Default)]
 pub struct ProcessMetrics {
-    /// Revision of the rules that the process decides on.
+    /// Revision of the rules in use.
     pub rules_revision: Gauge,
-    /// Time left of the rules lease when it was last renewed, in milliseconds.
+    /// Remaining time of the rules lease at its last renewal, in milliseconds.
     pub rules_lease_ms: Gauge,
-    /// Spans that were dropped because the file did not keep up.
+    /// Number of spans dropped because the writer's queue was full.
     pub spans_dropped: Gauge,
 }
 
 impl ProcessMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         let copy = metrics.clone();
--- a/crates/node/src/metrics/request.rs
+++ b/crates/node/src/metrics/request.rs
@@ -1,34 +1,35 @@
-//! What an entry counts about requests.
+//! Metrics of an entry about requests.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// How one request or attempt ended.
+/// Label of the outcome of a request, attempt, claim or order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
-    /// `answered`, or the stable code of the refusal.
+    /// Of a request: `answered`, `replayed` or the stable code of the refusal. Other counters have
+    /// values of their own.
     pub outcome: &'static str,
 }
 
-/// Counters of one entry.
+/// Request counters of one entry.
 #[derive(Debug, Clone, Default)]
 pub struct RequestMetrics {
-    /// Requests by how they ended.
+    /// Finished requests by outcome.
     pub requests: Family<OutcomeLabel, Counter>,
-    /// Answers that belonged to another attempt and were dropped.
+    /// Answers dropped because they belonged to another attempt.
     pub crossed: Counter,
-    /// Pieces of answers that came a second time and were dropped.
+    /// Chunks of answers dropped as duplicates.
     pub doubled: Counter,
-    /// Attempts that were asked after over a new connection.
+    /// Reconnects of attempts over a new connection.
     pub reconnects: Counter,
-    /// Claims of keys by what the ledger answered.
+    /// Claims of idempotency keys by the reply of the ledger.
     pub claims: Family<OutcomeLabel, Counter>,
 }
 
 impl RequestMetrics {
-    /// Makes the metrics and adds them to `registry`.
+    /// Creates the metrics and adds them to `registry`.
     pub fn register(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register("requests", "Requests by how they ended", metrics.requests.clone());
@@ -40,13 +41,13 @@
         metrics
     }
 
-    /// Counts one claim that the ledger answered with `outcome`.
-    pub fn claimed(&self, outcome: &'static str) {
+    /// Counts one claim with the ledger's reply `outcome`.
+    pub fn record_claim(&self, outcome: &'static str) {
         self.claims.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// Counts one request that ended as `outcome`.
-    pub fn ended(&self, outcome: &'static str) {
+    /// Counts one finished request with `outcome`.
+    pub fn record_outcome(&self, outcome: &'static str) {
         self.requests.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 }
--- a/crates/node/src/timestamp.rs
+++ b/crates/node/src/timestamp.rs
@@ -1,17 +1,17 @@
-//! Wall-clock times as text, for people who read logs and traces; nothing is decided on them.
+//! Formatting of wall-clock times for logs and traces; no decision depends on them.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Days from the first of March of year 0 to the first of January 1970.
+/// Days from 1 March of year 0 to 1 January 1970.
 const DAYS_TO_EPOCH: u64 = 719_468;
 
-/// Days in 400 years.
+/// Days in 400 Gregorian years.
 const DAYS_IN_ERA: u64 = 146_097;
 
 /// Seconds in a day.
 const DAY_SECONDS: u64 = 86_400;
 
-/// `time` in RFC 3339, in UTC with microseconds.
+/// Formats `time` as RFC 3339 in UTC with microseconds; times before 1970 become 1970.
 pub fn format_utc(time: SystemTime) -> String {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     let (days, seconds) = (since.as_secs() / DAY_SECONDS, since.as_secs() % DAY_SECONDS);
@@ -21,8 +21,9 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{micros:06}Z")
 }
 
-/// Year, month and day of a number of days since 1970, in years that begin in March so that the
-/// leap day comes last.
+/// Converts days since 1970-01-01 to year, month and day.
+///
+/// Computes in years that begin in March, so that the leap day is the last day of the year.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     let shifted = days + DAYS_TO_EPOCH;
     let (era, day_of_era) = (shifted / DAYS_IN_ERA, shifted % DAYS_IN_ERA);
--- a/crates/node/src/trace/mod.rs
+++ b/crates/node/src/trace/mod.rs
@@ -1,8 +1,8 @@
-//! Spans: one for each hop of a request, under the caller's trace id.
+//! Tracing: one span for each hop of a request, under the caller's trace id.
 //!
-//! The hops are `entry` (from the request's arrival to its answer), `link` (one attempt as the
-//! entry sees it), `agent` (the attempt as the agent sees it) and `engine` (the endpoint's call).
-//! Each hands its identity to the next, so the caller's `traceparent` reaches the endpoint.
+//! The hops are `entry` (from the request's arrival to its answer), `link` (one attempt as seen by
+//! the entry), `agent` (the attempt as seen by the agent) and `engine` (the call to the endpoint).
+//! Each passes its context to the next, so the caller's `traceparent` reaches the endpoint.
 
 mod processor;
 mod scope;
@@ -23,23 +23,23 @@
 
 use self::processor::QueueProcessor;
 
-/// Name under which the spans are made.
+/// Instrumentation scope of the spans.
 const SCOPE_NAME: &str = "briartray";
 
-/// Makes the spans of one process.
+/// Creates the spans of one process.
 #[derive(Debug, Clone, Default)]
 pub struct TraceHub {
     tracer: Option<SdkTracer>,
-    /// Keeps the spans' way to the file open.
+    /// Held to keep the processor and its queue to the writer open.
     _provider: Option<SdkTracerProvider>,
     dropped: Arc<AtomicU64>,
 }
 
 impl TraceHub {
-    /// Starts writing spans to the file that `settings` names, if any.
+    /// Starts writing spans to the file in `settings`; without one, no spans are recorded.
     ///
     /// # Errors
-    /// The file cannot be opened, or the system has no thread left.
+    /// The file cannot be opened, or the writer thread cannot start.
     pub fn start(settings: &TraceSettings, node: &NodeName) -> std::io::Result<Self> {
         let Some(file) = &settings.file else { return Ok(Self::default()) };
         let dropped = Arc::new(AtomicU64::new(0));
@@ -50,12 +50,12 @@
         Ok(Self { tracer: Some(tracer), _provider: Some(provider), dropped })
     }
 
-    /// Spans that were dropped because the file did not keep up.
+    /// Number of spans dropped because the writer's queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Begins a span below `parent`; a parent without a span id begins a new trace.
+    /// Begins a span as a child of `parent`; a parent without a span id begins a new trace.
     pub fn span(&self, hop: SpanHop, parent: TraceContext) -> HopSpan {
         HopSpan::begin(self.tracer.as_ref(), hop, parent)
     }
--- a/crates/node/src/trace/processor.rs
+++ b/crates/node/src/trace/processor.rs
@@ -1,4 +1,4 @@
-//! Hands ended spans to the writer without ever making a request wait for a disk.
+//! Queues ended spans for the writer, so that no request waits for the disk.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 use opentelemetry_sdk::error::OTelSdkResult;
 use opentelemetry_sdk::trace::{Span, SpanData, SpanProcessor};
 
-/// Puts spans into a bounded queue; a span that finds it full is dropped and counted.
+/// Puts ended spans into a bounded queue; drops and counts them while the queue is full.
 #[derive(Debug)]
 pub(super) struct QueueProcessor {
     queue: Sender<SpanData>,
--- a/crates/node/src/trace/scope.rs
+++ b/crates/node/src/trace/scope.rs
@@ -1,4 +1,4 @@
-//! Which trace the current thread works for, so that its log lines carry the trace id.
+//! The trace that the current thread works for, so that its log lines carry the trace id.
 
 use std::cell::Cell;
 
@@ -6,26 +6,26 @@
     static CURRENT: Cell<u128> = const { Cell::new(0) };
 }
 
-/// Sets the thread's trace until it is dropped.
+/// Sets the trace of the current thread; dropping it restores the previous one.
 #[derive(Debug)]
 pub struct TraceScope {
-    before: u128,
+    previous: u128,
 }
 
 impl TraceScope {
-    /// Lets this thread work for the trace `trace_id`.
+    /// Sets the trace of the current thread to `trace_id`.
     pub fn enter(trace_id: u128) -> Self {
-        Self { before: CURRENT.replace(trace_id) }
+        Self { previous: CURRENT.replace(trace_id) }
     }
 }
 
 impl Drop for TraceScope {
     fn drop(&mut self) {
-        CURRENT.set(self.before);
+        CURRENT.set(self.previous);
     }
 }
 
-/// Id of the trace that this thread works for, if any.
+/// Trace id of the current thread, if set.
 pub fn current_trace() -> Option<u128> {
     Some(CURRENT.get()).filter(|id| *id != 0)
 }
--- a/crates/node/src/trace/span.rs
+++ b/crates/node/src/trace/span.rs
@@ -1,4 +1,4 @@
-//! One span of one hop.
+//! The span of one hop of a request.
 
 use briartray_model::message::TraceContext;
 use opentelemetry::trace::{
@@ -8,18 +8,18 @@
 use opentelemetry::{Context, KeyValue};
 use opentelemetry_sdk::trace::{SdkTracer, Span as SdkSpan};
 
-use crate::new_span;
+use crate::new_span_id;
 
 /// A hop of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpanHop {
     /// The whole request at the entry.
     Entry,
-    /// One attempt as the entry sees it.
+    /// One attempt as seen by the entry.
     Link,
-    /// One attempt as the agent sees it.
+    /// One attempt as seen by the agent.
     Agent,
-    /// The call of the endpoint.
+    /// The call to the endpoint.
     Engine,
 }
 
@@ -57,28 +57,28 @@
         });
         let context = match &span {
             Some(span) => read_context(span.span_context()),
-            // Nothing is recorded here; others on the path may, under the same trace id.
+            // Not recorded here, but later hops may record spans under the same trace id.
             None if starts_trace => {
-                TraceContext { trace_id: rand::random(), span_id: new_span(), sampled: false }
+                TraceContext { trace_id: rand::random(), span_id: new_span_id(), sampled: false }
             }
             None => parent,
         };
         Self { span, context }
     }
 
-    /// The identity that the next hop is handed.
+    /// The trace context to pass to the next hop.
     pub fn context(&self) -> TraceContext {
         self.context
     }
 
-    /// Adds an attribute.
+    /// Sets an attribute of the span.
     pub fn set(&mut self, key: &'static str, value: impl ToString) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(key, value.to_string()));
         }
     }
 
-    /// Marks the span as failed.
+    /// Marks the span as failed, with a description.
     pub fn fail(&mut self, detail: &str) {
         if let Some(span) = &mut self.span {
             span.set_status(Status::error(detail.to_owned()));
--- a/crates/node/src/trace/writer.rs
+++ b/crates/node/src/trace/writer.rs
@@ -1,4 +1,4 @@
-//! Writes spans to a file as JSON lines.
+//! Writes spans to a file as JSON lines, with rotation by size.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -12,16 +12,16 @@
 
 use crate::timestamp::format_utc;
 
-/// Spans that may wait for the disk.
+/// Maximum number of spans that wait to be written.
 const QUEUE_SPANS: usize = 8192;
 
-/// Size at which the file is set aside, replacing the one set aside before.
+/// Size above which the file is rotated; the previously rotated file is replaced.
 const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Spans written in one piece.
-const BATCH_SPANS: usize = 256;
+/// Maximum number of further spans written together with the first one.
+const MAX_BATCH_SPANS: usize = 256;
 
-/// Starts the thread that writes spans to `path`.
+/// Starts the thread that writes spans to `path`; it ends when the sender is dropped.
 pub(super) fn start(path: &Path, node: &str) -> std::io::Result<Sender<SpanData>> {
     let file = open(path)?;
     let (sender, queue) = bounded(QUEUE_SPANS);
@@ -43,11 +43,11 @@
 impl SpanWriter {
     fn run(mut self, queue: &Receiver<SpanData>) {
         while let Ok(first) = queue.recv() {
-            let more = queue.try_iter().take(BATCH_SPANS);
+            let more = queue.try_iter().take(MAX_BATCH_SPANS);
             let lines: String = std::iter::once(first).chain(more).map(|s| self.line(&s)).collect();
-            // One write for whole lines: processes that share a file do not mix theirs.
+            // Whole lines in one write: processes that share the file do not interleave theirs.
             if let Err(error) = self.write(&lines) {
-                log::warn!("spans cannot be written: {error}; free space or change trace.file");
+                log::warn!("spans lost in writing: {error}; free disk space or change trace.file");
             }
         }
     }
@@ -66,7 +66,7 @@
             .iter()
             .map(|pair| (pair.key.to_string(), json!(pair.value.to_string())))
             .collect();
-        let taken = span.end_time.duration_since(span.start_time).unwrap_or_default();
+        let duration = span.end_time.duration_since(span.start_time).unwrap_or_default();
         let parent = Some(span.parent_span_id).filter(|id| *id != SpanId::INVALID);
         let failure = match &span.status {
             Status::Error { description } => Some(description.to_string()),
@@ -79,7 +79,7 @@
             "name": span.name,
             "node": self.node,
             "start": format_utc(span.start_time),
-            "duration_us": u64::try_from(taken.as_micros()).unwrap_or(u64::MAX),
+            "duration_us": u64::try_from(duration.as_micros()).unwrap_or(u64::MAX),
             "error": failure,
             "attributes": attributes,
         });
--- a/crates/node/tests/log_lines.rs
+++ b/crates/node/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The schema of log lines.
+//! The schema of log lines and the format of timestamps.
 
 use std::time::{Duration, UNIX_EPOCH};
 
