--- a/crates/node/src/entry/claims.rs
+++ b/crates/node/src/entry/claims.rs
@@ -15,7 +15,7 @@
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
-/// Maximum number of calls in flight; further calls get `Unavailable` at once.
+/// Maximum number of calls in flight; further calls are treated as unanswered and retried.
 const MAX_IN_FLIGHT: usize = 4096;
 
 /// Timeout for an answer, after which the call is sent again.
--- a/crates/node/src/entry/idempotency.rs
+++ b/crates/node/src/entry/idempotency.rs
@@ -34,7 +34,7 @@
 /// How long an outcome is still sent to the ledger after the caller was answered.
 const LATE_REPORT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Checks the idempotency key of a request against the rules; `None` when it needs none.
+/// Checks the idempotency key of a request; `None` when none is given and none is required.
 ///
 /// # Errors
 /// A refusal when a key is required and missing, or is empty or too long.
