--- a/crates/node/src/agent/serve.rs
+++ b/crates/node/src/agent/serve.rs
@@ -63,7 +63,7 @@
     let attempt = order.attempt;
     let _scope = TraceScope::enter(order.trace.trace_id);
     let mut span = shared.traces.span(SpanHop::Agent, order.trace);
-    span.set("attempt", attempt);
+    span.set_attribute("attempt", attempt);
     if let Some(reason) = shared.refusal_reason(&order) {
         return send_refusal(&stream.writer, shared, attempt, reason);
     }
--- a/crates/node/src/entry/idempotency.rs
+++ b/crates/node/src/entry/idempotency.rs
@@ -23,7 +23,7 @@
 use super::output::{CallerOutput, KeyedOutcome};
 use super::refusal::{CallRefusal, RefusalCode};
 use super::shared::EntryShared;
-use crate::new_attempt;
+use crate::new_attempt_id;
 
 /// Timeout for a claim, after which the request is refused.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
@@ -74,7 +74,7 @@
     let claim = CallClaim {
         claims: shared.claims.clone(),
         key: ClaimKey { team: plan.team.clone(), key: key.clone() },
-        attempt: new_attempt(),
+        attempt: new_attempt_id(),
     };
     let digest = call_digest(&plan.target, &plan.body);
     let claim_reply = claim.acquire(digest);
--- a/crates/node/src/ids.rs
+++ b/crates/node/src/ids.rs
@@ -3,17 +3,17 @@
 use briartray_model::names::{AttemptId, ChangeId, RequestId};
 
 /// Creates a unique attempt id.
-pub fn new_attempt() -> AttemptId {
+pub fn new_attempt_id() -> AttemptId {
     AttemptId(rand::random())
 }
 
 /// Creates a unique request id.
-pub fn new_request() -> RequestId {
+pub fn new_request_id() -> RequestId {
     RequestId(rand::random())
 }
 
 /// Creates a unique change id.
-pub fn new_change() -> ChangeId {
+pub fn new_change_id() -> ChangeId {
     ChangeId(rand::random())
 }
 
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -20,7 +20,7 @@
 }
 
 /// Like [`start`], but to standard output, where platforms collect the logs of processes.
-pub fn start_on_output(level: &str) {
+pub fn start_on_stdout(level: &str) {
     start_to(level, Target::Stdout);
 }
 
