--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that opens streams.
+//! The client side of links, which opens streams.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,32 +10,33 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use crate::connection::{PathProof, is_answered, watch_path};
-use crate::stream::{LinkReader, LinkWriter, StreamEnds, pair, pump_in, pump_out};
+use crate::connection::{PathProof, monitor_path, ping_answered};
+use crate::stream::{LinkReader, LinkWriter, StreamEnds, receive_frames, send_frames, stream_pair};
 use crate::{CallKind, LinkError, PROTOCOL_VERSION, TOKEN_HEADER, VERSION_HEADER};
 
-/// Calls that may wait to be opened.
-const OPEN_QUEUE: usize = 1024;
+/// Number of calls that may wait for the network thread to open them.
+const OPEN_QUEUE_CALLS: usize = 1024;
 
-/// h2 window of one stream, in bytes.
-pub(crate) const STREAM_WINDOW: u32 = 256 * 1024;
+/// h2 flow-control window of one stream.
+pub(crate) const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
 
-/// h2 window of one connection, in bytes.
-pub(crate) const CONNECTION_WINDOW: u32 = 4 * 1024 * 1024;
+/// h2 flow-control window of one connection.
+pub(crate) const CONNECTION_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
 
-/// How a client connects.
+/// Settings of a link client.
 #[derive(Debug, Clone)]
 pub struct ClientSettings {
     /// Shared secret of the deployment.
     pub token: String,
-    /// Time to connect and shake hands.
+    /// Time limit for connecting, for the h2 handshake and for the first ping, the ping counted
+    /// separately.
     pub connect_timeout: Duration,
 }
 
-/// Opens streams to other processes over pooled connections.
+/// Opens streams to other processes, over one shared connection per address.
 #[derive(Debug, Clone)]
 pub struct LinkClient {
-    opens: mpsc::Sender<OpenCall>,
+    calls: mpsc::Sender<OpenCall>,
 }
 
 #[derive(Debug)]
@@ -43,11 +44,11 @@
     address: SocketAddr,
     kind: CallKind,
     ends: StreamEnds,
-    /// Connections that were asked for before this moment are not used.
-    since: Option<Instant>,
+    /// Connections that were requested before this time are not used.
+    requested_since: Option<Instant>,
 }
 
-/// Tells the connections to one address apart.
+/// Distinguishes successive connections to one address.
 type Generation = u64;
 
 #[derive(Debug)]
@@ -57,12 +58,12 @@
 }
 
 impl LinkClient {
-    /// Starts a traffic thread.
+    /// Starts a client with its network thread, which is called `name`.
     ///
     /// # Errors
-    /// `LinkError::Thread` when the thread or its runtime cannot be made.
+    /// `LinkError::Thread` when the thread or its runtime cannot be created.
     pub fn start(name: &str, settings: ClientSettings) -> Result<Self, LinkError> {
-        let (opens, queue) = mpsc::channel(OPEN_QUEUE);
+        let (calls, queue) = mpsc::channel(OPEN_QUEUE_CALLS);
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -71,49 +72,50 @@
             .name(name.to_owned())
             .spawn(move || runtime.block_on(run_pool(settings, queue)))
             .map_err(|source| LinkError::Thread { source })?;
-        Ok(Self { opens })
+        Ok(Self { calls })
     }
 
-    /// Opens a stream of `kind` to `address`. Errors of connecting come out of the reader.
+    /// Opens a stream of `kind` to `address`. The reader returns connection errors.
     pub fn open(&self, address: SocketAddr, kind: CallKind) -> (LinkWriter, LinkReader) {
         self.enqueue(address, kind, None)
     }
 
-    /// As [`LinkClient::open`], but over a connection that was asked for at `since` or later.
+    /// As [`LinkClient::open`], but over a connection that was requested at `requested_since` or
+    /// later.
     ///
-    /// When a connection has gone silent, streams that still use it find out one by one; the
-    /// first one makes a new connection and the others share it.
+    /// When a connection stops delivering data, its streams notice that one by one. The first one
+    /// causes a new connection, which the others then share.
     pub fn open_since(
         &self,
         address: SocketAddr,
         kind: CallKind,
-        since: Instant,
+        requested_since: Instant,
     ) -> (LinkWriter, LinkReader) {
-        self.enqueue(address, kind, Some(since))
+        self.enqueue(address, kind, Some(requested_since))
     }
 
     fn enqueue(
         &self,
         address: SocketAddr,
         kind: CallKind,
-        since: Option<Instant>,
+        requested_since: Option<Instant>,
     ) -> (LinkWriter, LinkReader) {
-        let (writer, reader, ends) = pair();
-        // A closed queue drops the ends, and the reader then reports the end of the stream.
-        let _ = self.opens.blocking_send(OpenCall { address, kind, ends, since });
+        let (writer, reader, ends) = stream_pair();
+        // When the queue is closed, the ends are dropped and the reader returns `LinkError::Ended`.
+        let _ = self.calls.blocking_send(OpenCall { address, kind, ends, requested_since });
         (writer, reader)
     }
 }
 
-/// One peer of the pool.
+/// The current connection to one address.
 #[derive(Debug)]
 struct PoolEntry {
     generation: Generation,
-    asked: Instant,
+    requested_at: Instant,
     state: PoolState,
 }
 
-/// Connected, or calls that wait for the connection.
+/// State of a connection, with the calls that wait for it.
 #[derive(Debug)]
 enum PoolState {
     Connecting(Vec<OpenCall>),
@@ -139,7 +141,7 @@
     }
 }
 
-/// Connections by address, at most one in use for each.
+/// Connections by address; new streams use at most one per address.
 struct LinkPool {
     settings: ClientSettings,
     events: mpsc::UnboundedSender<PoolEvent>,
@@ -149,7 +151,9 @@
 
 impl LinkPool {
     fn accept(&mut self, call: OpenCall) {
-        let usable = |entry: &&mut PoolEntry| call.since.is_none_or(|since| entry.asked >= since);
+        let usable = |entry: &&mut PoolEntry| {
+            call.requested_since.is_none_or(|requested_since| entry.requested_at >= requested_since)
+        };
         match self.entries.get_mut(&call.address).filter(usable) {
             Some(PoolEntry { state: PoolState::Connected(sender), .. }) => {
                 start_call(&self.settings, sender.clone(), call);
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Makes a new connection; one that is replaced serves its open streams until they end.
+    /// Starts a new connection. A connection that it replaces keeps serving its open streams.
     fn connect(&mut self, call: OpenCall) {
         let address = call.address;
         self.last_generation += 1;
@@ -171,7 +175,7 @@
             waiting.extend(earlier);
         }
         let state = PoolState::Connecting(waiting);
-        self.entries.insert(address, PoolEntry { generation, asked: Instant::now(), state });
+        self.entries.insert(address, PoolEntry { generation, requested_at: Instant::now(), state });
         let timeout = self.settings.connect_timeout;
         tokio::spawn(connect(address, generation, timeout, self.events.clone()));
     }
@@ -221,7 +225,7 @@
     tokio::spawn(async move { call.ends.incoming.push(Err(error)).await });
 }
 
-/// Connects, reports the outcome, then drives the connection until it fails or goes silent.
+/// Connects, reports the outcome, then runs the connection until it fails or a ping times out.
 async fn connect(
     address: SocketAddr,
     generation: Generation,
@@ -232,8 +236,8 @@
         let socket = TcpStream::connect(address).await.map_err(|error| error.to_string())?;
         socket.set_nodelay(true).map_err(|error| error.to_string())?;
         h2::client::Builder::new()
-            .initial_window_size(STREAM_WINDOW)
-            .initial_connection_window_size(CONNECTION_WINDOW)
+            .initial_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .handshake::<_, Bytes>(socket)
             .await
             .map_err(|error| error.to_string())
@@ -244,23 +248,24 @@
     let (sender, mut connection) = match tokio::time::timeout(timeout, attempt).await {
         Ok(Ok(parts)) => parts,
         Ok(Err(detail)) => return failed(&detail),
-        Err(_) => return failed("no answer in time"),
+        Err(_) => return failed("connection attempt timed out"),
     };
-    let Some(mut ping) = connection.ping_pong() else { return failed("no pings") };
+    let Some(mut ping) = connection.ping_pong() else { return failed("pings unavailable") };
     let mut connection = std::pin::pin!(connection);
-    // A stopped process still accepts connections in its kernel. Nothing is sent before the other
-    // end has answered once, so what waits for it is certain not to have left.
+    // The kernel accepts connections even for a suspended process. Nothing is sent before the first
+    // ping is answered, so if that fails, the waiting calls have certainly not been sent.
     let answered = tokio::select! {
         _ = &mut connection => false,
-        answered = is_answered(&mut ping, timeout) => answered,
+        answered = ping_answered(&mut ping, timeout) => answered,
     };
     if !answered {
-        return failed("the process does not answer");
+        return failed("the process does not answer pings");
     }
     let _ = events.send(PoolEvent::Opened(address, generation, Ok(sender)));
     tokio::select! {
         _ = connection => {}
-        () = watch_path(ping, PathProof::new()) => log::warn!("link to {address} went silent"),
+        () = monitor_path(ping, PathProof::new()) =>
+            log::warn!("no ping answer on the link to {address}; closing it"),
     }
     let _ = events.send(PoolEvent::Closed(address, generation));
 }
@@ -290,10 +295,10 @@
             return;
         }
     };
-    tokio::spawn(pump_out(outgoing, body));
+    tokio::spawn(send_frames(outgoing, body));
     match response.await {
         Ok(response) if response.status() == StatusCode::OK => {
-            pump_in(response.into_body(), incoming).await;
+            receive_frames(response.into_body(), incoming).await;
         }
         Ok(response) => {
             let status = response.status();
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -1,55 +1,55 @@
-//! Keeping an h2 connection honest: a path that swallows data is noticed by pings.
+//! Ping checks on an h2 connection, which detect a network path that silently drops data.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 use h2::PingPong;
 
-/// Time between pings on an open connection.
+/// Interval between pings on an open connection.
 pub(crate) const PING_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Time after which an unanswered ping means that the path is dead.
+/// Time without an answer to a ping after which the connection is given up.
 pub(crate) const PING_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// When the path of one connection last proved to work.
+/// Send time of the last ping on one connection that was answered.
 ///
-/// Data of one connection arrives in order, so whatever arrives now was sent after the moment that
-/// is kept here. Without it a message that was held up on the way for minutes looks like a fresh
-/// one, and an order could run after its sender was told that it never would.
+/// Data on one connection arrives in order, so a message that arrives now was sent after that
+/// ping. Without this bound, a message that was delayed for minutes would look recent, and
+/// an order could run after its sender was informed that it never would.
 #[derive(Debug, Clone)]
 pub struct PathProof {
     sent: Arc<Mutex<Instant>>,
 }
 
 impl PathProof {
-    /// A proof that holds from now.
+    /// Starts with the current time.
     ///
-    /// The side that accepts may count from accepting, because the side that connects sends
-    /// nothing before its first ping was answered.
+    /// The accepting side may count from the time it accepted, because the connecting side
+    /// sends nothing before its first ping is answered.
     pub(crate) fn new() -> Self {
         Self { sent: Arc::new(Mutex::new(Instant::now())) }
     }
 
-    /// Upper bound of the time that a message which arrives now was on its way.
+    /// Upper bound of the time that a message arriving now was in transit.
     pub fn age(&self) -> Duration {
         self.sent.lock().unwrap_or_else(PoisonError::into_inner).elapsed()
     }
 
-    /// Notes that a ping sent at `sent` was answered.
+    /// Records that a ping sent at `sent` was answered.
     fn renew(&self, sent: Instant) {
         *self.sent.lock().unwrap_or_else(PoisonError::into_inner) = sent;
     }
 }
 
-/// Sends pings until one goes unanswered; notes each answer in `proof`.
+/// Sends pings until one is not answered in time; records each answer in `proof`.
 ///
-/// A middlebox may lose track of a connection: both ends keep it open, nothing arrives and no
-/// error is raised. Only an answer from the other end shows that the path still works.
-pub(crate) async fn watch_path(mut ping: PingPong, proof: PathProof) {
+/// When a middlebox drops its state of a connection, both ends keep the connection open, nothing
+/// arrives and no error is raised. Only an answer from the other end shows that the path works.
+pub(crate) async fn monitor_path(mut ping: PingPong, proof: PathProof) {
     loop {
         tokio::time::sleep(PING_INTERVAL).await;
         let sent = Instant::now();
-        if !is_answered(&mut ping, PING_TIMEOUT).await {
+        if !ping_answered(&mut ping, PING_TIMEOUT).await {
             return;
         }
         proof.renew(sent);
@@ -57,6 +57,6 @@
 }
 
 /// Sends one ping and waits for its answer.
-pub(crate) async fn is_answered(ping: &mut PingPong, timeout: Duration) -> bool {
+pub(crate) async fn ping_answered(ping: &mut PingPong, timeout: Duration) -> bool {
     matches!(tokio::time::timeout(timeout, ping.ping(h2::Ping::opaque())).await, Ok(Ok(_)))
 }
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a conversation failed, told apart by whether anything can have left this process.
+//! Link errors, which distinguish whether the other end can have received a message.
 
 use std::net::SocketAddr;
 
 use briartray_model::codec::CodecError;
 use snafu::Snafu;
 
-/// Why a conversation failed.
+/// Why a link or one of its streams failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LinkError {
@@ -17,18 +17,18 @@
         /// What went wrong.
         detail: String,
     },
-    /// The other end refused the handshake; no message was taken.
+    /// The other end refused the stream and accepted no message.
     #[snafu(display("{address} refused the call with status {status}: {remedy}"))]
     Handshake {
         /// The other end.
         address: SocketAddr,
         /// HTTP status of the refusal.
         status: u16,
-        /// What to do about it.
+        /// How to correct it.
         remedy: &'static str,
     },
-    /// The stream broke after it was opened; messages may have arrived.
-    #[snafu(display("stream broke: {detail}; ask again over a new connection"))]
+    /// The stream broke after it was opened; the other end may have received messages.
+    #[snafu(display("stream broke: {detail}; retry over a new connection"))]
     Broken {
         /// What went wrong.
         detail: String,
@@ -36,43 +36,45 @@
     /// The other end closed the stream.
     #[snafu(display("stream ended; open a new one"))]
     Ended,
-    /// Nothing came in time.
-    #[snafu(display("no message came in time; the other end may be slow or cut off"))]
+    /// No message arrived within the timeout.
+    #[snafu(display("no message arrived in time; the other end may be slow or unreachable"))]
     TimedOut,
-    /// A message does not decode.
+    /// A message cannot be encoded or decoded.
     #[snafu(display("{source}"), context(false))]
     Codec {
-        /// What the codec said.
+        /// The codec's error.
         source: CodecError,
     },
     /// A frame is larger than the limit.
     #[snafu(display("frame of {size} bytes is over the limit of {limit}; send less at a time"))]
     TooLarge {
-        /// Size that was announced.
+        /// Size of the frame.
         size: usize,
         /// Largest size allowed.
         limit: usize,
     },
-    /// The address cannot be listened on.
+    /// The server cannot listen on the address.
     #[snafu(display(
         "cannot listen on {address}: {source}; choose a free address in the settings"
     ))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// The traffic thread cannot be started.
-    #[snafu(display("cannot start a traffic thread: {source}; check the process limits"))]
+    /// The network thread or its runtime cannot be started.
+    #[snafu(display(
+        "cannot start the network thread of a link: {source}; check the process limits"
+    ))]
     Thread {
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
 }
 
 impl LinkError {
-    /// Whether it is certain that the other end took no message.
+    /// Whether it is certain that the other end accepted no message.
     pub fn nothing_sent(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::Handshake { .. })
     }
--- a/crates/link/src/courier.rs
+++ b/crates/link/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! Carrying queued messages to one process for as long as its links last.
+//! Forwarding queued messages to one process, over a new stream whenever one breaks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::{CallKind, LinkClient};
 
-/// Wait before a broken stream is opened again.
-const REOPEN_WAIT: Duration = Duration::from_millis(100);
+/// Delay before a new stream replaces a broken one.
+const REOPEN_DELAY: Duration = Duration::from_millis(100);
 
-/// Carries what comes out of `queue` to `address` over streams of `kind`, until the queue is closed.
+/// Sends the messages from `queue` to `address` over streams of `kind`, until the queue is closed.
 ///
-/// After a stream has broken, what waited meanwhile is dropped: the protocols above send again what
-/// still counts, and old messages would only hold up new ones.
+/// After a stream breaks, the messages queued until then are dropped: the protocols on top resend
+/// what is still needed, and old messages would only delay new ones.
 pub fn carry_messages<T: Serialize>(
     client: &LinkClient,
     address: SocketAddr,
@@ -29,8 +29,10 @@
             sent = writer.send(&message);
         }
         drop(reader);
-        log::debug!("the {kind} stream to {address} broke");
-        std::thread::sleep(REOPEN_WAIT);
+        log::debug!(
+            "the {kind} stream to {address} broke; opening a new one with the next message"
+        );
+        std::thread::sleep(REOPEN_DELAY);
         let waited = queue.len();
         queue.try_iter().take(waited).for_each(drop);
     }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,28 +1,29 @@
-//! Conversations between the system's own processes: h2 streams that carry bincode messages.
+//! Links between briartray processes: h2 streams that carry bincode messages.
 //!
-//! One traffic thread per [`LinkClient`] or [`LinkServer`] runs a current-thread runtime; callers
-//! on other threads use blocking [`LinkWriter`] and [`LinkReader`] halves. Both directions are
-//! bounded: a reader that falls behind stops the h2 window, so memory stays bounded.
+//! Each [`LinkClient`] or [`LinkServer`] has a network thread with a current-thread runtime. Other
+//! threads use the blocking [`LinkWriter`] and [`LinkReader`] halves of a stream. Queues are
+//! bounded in both directions: when a reader falls behind, h2 flow control stops the sender, so
+//! memory stays bounded.
 
 mod client;
 mod connection;
-mod courier;
 mod error;
+mod forwarder;
 mod frame;
 mod server;
 mod stream;
 
 pub use client::{ClientSettings, LinkClient};
 pub use connection::PathProof;
-pub use courier::carry_messages;
 pub use error::LinkError;
+pub use forwarder::carry_messages;
 pub use frame::MAX_FRAME_BYTES;
 pub use server::{LinkServer, LinkStream};
 pub use stream::{EncodedMessage, LinkReader, LinkWriter};
 
 use std::fmt;
 
-/// Version of the message types; both ends of a conversation must run the same one.
+/// Version of the message types; both ends of a link must have the same one.
 pub const PROTOCOL_VERSION: &str = "1";
 
 /// Header that carries [`PROTOCOL_VERSION`].
@@ -31,7 +32,7 @@
 /// Header that carries the shared secret of the deployment.
 pub(crate) const TOKEN_HEADER: &str = "x-briartray-token";
 
-/// What a stream is for; it decides the message types on it.
+/// Purpose of a stream, which determines the message types on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
     /// Entry to agent: `EntryRequest` and `AgentReply`.
@@ -46,9 +47,9 @@
     Ledger,
     /// Control host to control host: messages of the replicated log.
     Peer,
-    /// Control host to control host, where voters come and go: `CoreMessage`.
+    /// Control host to control host, with changing membership of voters: `CoreMessage`.
     Core,
-    /// Entry to control, where endpoints announce themselves: `EntryReport` and `EntryNotice`.
+    /// Entry to control, with endpoints that register themselves: `EntryReport` and `EntryNotice`.
     Routing,
 }
 
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that accepts streams.
+//! The server side of links, which accepts streams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,36 +8,36 @@
 use http::{Request, Response, StatusCode};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::client::{CONNECTION_WINDOW, STREAM_WINDOW};
-use crate::connection::{PathProof, watch_path};
-use crate::stream::{LinkReader, LinkWriter, pair, pump_in, pump_out};
+use crate::client::{CONNECTION_WINDOW_BYTES, STREAM_WINDOW_BYTES};
+use crate::connection::{PathProof, monitor_path};
+use crate::stream::{LinkReader, LinkWriter, receive_frames, send_frames, stream_pair};
 use crate::{CallKind, LinkError, PROTOCOL_VERSION, TOKEN_HEADER, VERSION_HEADER};
 
-/// Streams that one connection may have open.
+/// Most open streams per connection.
 const MAX_STREAMS: u32 = 4096;
 
-/// Connections that one server keeps open.
+/// Most open connections per server.
 const MAX_CONNECTIONS: usize = 8192;
 
-/// Time a new connection has for its h2 handshake.
+/// Time limit for the h2 handshake of a new connection.
 const HANDSHAKE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// One accepted stream.
 #[derive(Debug)]
 pub struct LinkStream {
-    /// What the stream is for.
+    /// Purpose of the stream.
     pub kind: CallKind,
-    /// The process that opened it.
+    /// Address of the process that opened it.
     pub from: SocketAddr,
     /// Sends replies.
     pub writer: LinkWriter,
     /// Receives requests.
     pub reader: LinkReader,
-    /// Bounds how long a request can have been on its way.
+    /// Bounds how long a request can have been in transit.
     pub proof: PathProof,
 }
 
-/// Listens for streams of other processes.
+/// Accepts streams from other processes.
 #[derive(Debug)]
 pub struct LinkServer {
     address: SocketAddr,
@@ -48,8 +48,8 @@
     /// Listens on `address` and hands each accepted stream to `handler`, which must not block.
     ///
     /// # Errors
-    /// `LinkError::Listen` when the address is taken, `LinkError::Thread` when the traffic thread
-    /// cannot be made.
+    /// `LinkError::Listen` when the address cannot be listened on, `LinkError::Thread` when the
+    /// network thread cannot be started.
     pub fn start(
         address: SocketAddr,
         token: &str,
@@ -68,12 +68,12 @@
         let shared = Arc::new(ServerShared { token: token.to_owned(), handler });
         std::thread::Builder::new()
             .name(format!("link-{}", address.port()))
-            .spawn(move || runtime.block_on(accept_all(listener, shared, stopped)))
+            .spawn(move || runtime.block_on(accept_connections(listener, shared, stopped)))
             .map_err(|source| LinkError::Thread { source })?;
         Ok(Self { address, stop })
     }
 
-    /// Where the server listens; tells the port when zero was asked for.
+    /// The address that the server listens on, with the actual port when port zero was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -89,7 +89,7 @@
     handler: Box<dyn Fn(LinkStream) + Send + Sync>,
 }
 
-async fn accept_all(
+async fn accept_connections(
     listener: TcpListener,
     shared: Arc<ServerShared>,
     mut stopped: tokio::sync::watch::Receiver<bool>,
@@ -103,14 +103,14 @@
         let (socket, from) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
-                // Out of file handles, most likely; give others time to close.
-                log::warn!("cannot accept a link connection: {error}");
+                // Most likely no file handles are left; gives other connections time to close.
+                log::warn!("cannot accept a link connection: {error}; retrying in 50 ms");
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                 continue;
             }
         };
         let Ok(permit) = Arc::clone(&open).try_acquire_owned() else {
-            log::warn!("too many link connections; {from} was turned away");
+            log::warn!("too many link connections; closed the one from {from}");
             continue;
         };
         let shared = Arc::clone(&shared);
@@ -127,24 +127,24 @@
     }
     let proof = PathProof::new();
     let handshake = h2::server::Builder::new()
-        .initial_window_size(STREAM_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
+        .initial_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .max_concurrent_streams(MAX_STREAMS)
         .handshake::<_, Bytes>(socket);
     let Ok(Ok(mut connection)) = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await else {
-        log::warn!("link connection from {from} did not shake hands");
+        log::warn!("no h2 handshake on the link connection from {from}; closing it");
         return;
     };
     let Some(ping) = connection.ping_pong() else { return };
-    let mut silent = std::pin::pin!(watch_path(ping, proof.clone()));
+    let mut path_lost = std::pin::pin!(monitor_path(ping, proof.clone()));
     loop {
         tokio::select! {
             accepted = connection.accept() => match accepted {
                 Some(Ok((request, respond))) => accept_stream(request, respond, from, shared, &proof),
                 Some(Err(_)) | None => return,
             },
-            () = &mut silent => {
-                log::warn!("link from {from} went silent");
+            () = &mut path_lost => {
+                log::warn!("no ping answer on the link from {from}; closing it");
                 return;
             }
         }
@@ -162,21 +162,23 @@
         Ok(kind) => kind,
         Err(status) => {
             log::warn!("link call from {from} refused with status {status}");
-            let _ = respond.send_response(reply_head(status), true);
+            let _ = respond.send_response(response_head(status), true);
             return;
         }
     };
-    let Ok(body) = respond.send_response(reply_head(StatusCode::OK), false) else { return };
-    let (writer, reader, ends) = pair();
-    tokio::spawn(pump_out(ends.outgoing, body));
-    tokio::spawn(pump_in(request.into_body(), ends.incoming));
+    let Ok(body) = respond.send_response(response_head(StatusCode::OK), false) else { return };
+    let (writer, reader, ends) = stream_pair();
+    tokio::spawn(send_frames(ends.outgoing, body));
+    tokio::spawn(receive_frames(request.into_body(), ends.incoming));
     (shared.handler)(LinkStream { kind, from, writer, reader, proof: proof.clone() });
 }
 
-/// Refuses strangers and other versions before any message is read.
+/// Checks token, protocol version and path before any message is read; returns the status of a
+/// refusal.
 fn check_request(request: &Request<h2::RecvStream>, token: &str) -> Result<CallKind, StatusCode> {
     let header = |name: &str| request.headers().get(name).map(http::HeaderValue::as_bytes);
-    if !header(TOKEN_HEADER).is_some_and(|shown| same_bytes(shown, token.as_bytes())) {
+    if !header(TOKEN_HEADER).is_some_and(|presented| constant_time_eq(presented, token.as_bytes()))
+    {
         return Err(StatusCode::UNAUTHORIZED);
     }
     if header(VERSION_HEADER) != Some(PROTOCOL_VERSION.as_bytes()) {
@@ -185,13 +187,13 @@
     CallKind::from_path(request.uri().path()).ok_or(StatusCode::NOT_FOUND)
 }
 
-/// Compares without telling by its duration where two secrets differ.
-fn same_bytes(left: &[u8], right: &[u8]) -> bool {
+/// Compares two secrets in a time that does not depend on where they differ.
+fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     left.len() == right.len()
         && left.iter().zip(right).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
 }
 
-fn reply_head(status: StatusCode) -> Response<()> {
+fn response_head(status: StatusCode) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     response
--- a/crates/link/src/stream.rs
+++ b/crates/link/src/stream.rs
@@ -1,4 +1,4 @@
-//! The two blocking halves of one stream, and the tasks that move its frames.
+//! The blocking reader and writer of one stream, and the tasks that transfer its frames.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::LinkError;
-use crate::frame::{FrameBuffer, wrap};
+use crate::frame::{FrameBuffer, encode_frame};
 
-/// Messages that may wait in each direction of one stream.
-pub(crate) const STREAM_QUEUE: usize = 16;
+/// Queue length in each direction of one stream.
+pub(crate) const STREAM_QUEUE_MESSAGES: usize = 16;
 
 /// Sends messages on one stream.
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
     frames: mpsc::Sender<Bytes>,
 }
 
-/// A message as it goes onto streams: encoded once, however many readers there are.
+/// An encoded message, which can be sent on many streams without encoding it again.
 #[derive(Debug, Clone)]
 pub struct EncodedMessage {
     frame: Bytes,
@@ -33,9 +33,10 @@
     /// Encodes `message`.
     ///
     /// # Errors
-    /// A codec error when the message does not encode, or is too large.
+    /// `LinkError::Codec` when the message cannot be encoded, `LinkError::TooLarge` when it is over
+    /// the frame limit.
     pub fn of<T: Serialize>(message: &T) -> Result<Self, LinkError> {
-        Ok(Self { frame: wrap(&codec::encode(message)?)? })
+        Ok(Self { frame: encode_frame(&codec::encode(message)?)? })
     }
 }
 
@@ -43,25 +44,25 @@
 #[derive(Debug)]
 pub struct LinkReader {
     messages: Receiver<Result<Bytes, LinkError>>,
-    room: Arc<Notify>,
-    // Dropping the reader tells the stream's task that nobody listens any more.
-    _listening: mpsc::Sender<()>,
+    space: Arc<Notify>,
+    // Dropped with the reader, which informs the stream's task that nobody receives any more.
+    _reader_alive: mpsc::Sender<()>,
 }
 
 impl LinkWriter {
-    /// Sends `message`; waits while the other end is behind.
+    /// Sends `message`; blocks while the stream's queue is full.
     ///
     /// # Errors
-    /// `LinkError::Broken` when the stream is gone, a codec error when the message does not
-    /// encode.
+    /// `LinkError::Broken` when the stream is closed, `LinkError::Codec` or `LinkError::TooLarge`
+    /// when the message cannot be encoded as a frame.
     pub fn send<T: Serialize>(&self, message: &T) -> Result<(), LinkError> {
-        let frame = wrap(&codec::encode(message)?)?;
+        let frame = encode_frame(&codec::encode(message)?)?;
         self.frames
             .blocking_send(frame)
             .map_err(|_| LinkError::Broken { detail: "the stream is closed".to_owned() })
     }
 
-    /// Sends `message` unless the other end is behind; tells whether it was taken.
+    /// Sends `message` unless the stream's queue is full; returns whether it was queued.
     ///
     /// # Errors
     /// As [`LinkWriter::send`].
@@ -69,10 +70,10 @@
         self.try_send_encoded(&EncodedMessage::of(message)?)
     }
 
-    /// As [`LinkWriter::try_send`], for what is sent on many streams.
+    /// As [`LinkWriter::try_send`], for a message that is sent on many streams.
     ///
     /// # Errors
-    /// `LinkError::Broken` when the stream is gone.
+    /// `LinkError::Broken` when the stream is closed.
     pub fn try_send_encoded(&self, message: &EncodedMessage) -> Result<bool, LinkError> {
         match self.frames.try_send(message.frame.clone()) {
             Ok(()) => Ok(true),
@@ -88,22 +89,22 @@
         self.frames.same_channel(&other.frames)
     }
 
-    /// Whether the stream is gone.
+    /// Whether the stream is closed.
     pub fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
 }
 
 impl LinkReader {
-    /// The next message; waits up to `timeout`.
+    /// The next message; blocks for up to `timeout`.
     ///
     /// # Errors
-    /// `LinkError::TimedOut` when nothing came, `LinkError::Ended` when the other end closed the
-    /// stream, otherwise why the stream failed.
+    /// `LinkError::TimedOut` when no message arrived, `LinkError::Ended` when the stream has ended,
+    /// `LinkError::Codec` when the message does not decode, otherwise why the stream failed.
     pub fn receive<T: DeserializeOwned>(&self, timeout: Duration) -> Result<T, LinkError> {
         match self.messages.recv_timeout(timeout) {
             Ok(message) => {
-                self.room.notify_one();
+                self.space.notify_one();
                 Ok(codec::decode(&message?)?)
             }
             Err(RecvTimeoutError::Timeout) => Err(LinkError::TimedOut),
@@ -112,35 +113,35 @@
     }
 }
 
-/// The runtime's side of one stream.
+/// The network thread's side of one stream.
 #[derive(Debug)]
 pub(crate) struct StreamEnds {
     pub(crate) outgoing: mpsc::Receiver<Bytes>,
     pub(crate) incoming: IncomingQueue,
 }
 
-/// Where received messages go.
+/// Queue of received messages for the reader.
 #[derive(Debug)]
 pub(crate) struct IncomingQueue {
     messages: Sender<Result<Bytes, LinkError>>,
-    room: Arc<Notify>,
-    listening: mpsc::Receiver<()>,
+    space: Arc<Notify>,
+    reader_alive: mpsc::Receiver<()>,
 }
 
-/// Makes the blocking halves and the runtime's side of one stream.
-pub(crate) fn pair() -> (LinkWriter, LinkReader, StreamEnds) {
-    let (frames, outgoing) = mpsc::channel(STREAM_QUEUE);
-    let (messages, receiver) = crossbeam::channel::bounded(STREAM_QUEUE);
-    let (listening_guard, listening) = mpsc::channel(1);
-    let room = Arc::new(Notify::new());
+/// Creates the blocking halves and the network thread's side of one stream.
+pub(crate) fn stream_pair() -> (LinkWriter, LinkReader, StreamEnds) {
+    let (frames, outgoing) = mpsc::channel(STREAM_QUEUE_MESSAGES);
+    let (messages, receiver) = crossbeam::channel::bounded(STREAM_QUEUE_MESSAGES);
+    let (reader_guard, reader_alive) = mpsc::channel(1);
+    let space = Arc::new(Notify::new());
     let reader =
-        LinkReader { messages: receiver, room: Arc::clone(&room), _listening: listening_guard };
-    let incoming = IncomingQueue { messages, room, listening };
+        LinkReader { messages: receiver, space: Arc::clone(&space), _reader_alive: reader_guard };
+    let incoming = IncomingQueue { messages, space, reader_alive };
     (LinkWriter { frames }, reader, StreamEnds { outgoing, incoming })
 }
 
 impl IncomingQueue {
-    /// Hands `message` to the reader; waits for room. `false` when the reader is gone.
+    /// Queues `message` for the reader, waiting for space; `false` when the reader was dropped.
     pub(crate) async fn push(&mut self, message: Result<Bytes, LinkError>) -> bool {
         let mut message = message;
         loop {
@@ -150,20 +151,23 @@
                 Err(TrySendError::Full(message)) => message,
             };
             tokio::select! {
-                () = self.room.notified() => {}
-                _ = self.listening.recv() => return false,
+                () = self.space.notified() => {}
+                _ = self.reader_alive.recv() => return false,
             }
         }
     }
 
-    /// Resolves when the reader is gone.
-    async fn reader_gone(&mut self) {
-        self.listening.recv().await;
+    /// Completes when the reader was dropped.
+    async fn reader_dropped(&mut self) {
+        self.reader_alive.recv().await;
     }
 }
 
-/// Moves frames from the writer half to the h2 stream until the writers are gone.
-pub(crate) async fn pump_out(mut outgoing: mpsc::Receiver<Bytes>, mut stream: SendStream<Bytes>) {
+/// Sends queued frames on the h2 stream until every writer was dropped, then ends the stream.
+pub(crate) async fn send_frames(
+    mut outgoing: mpsc::Receiver<Bytes>,
+    mut stream: SendStream<Bytes>,
+) {
     while let Some(mut frame) = outgoing.recv().await {
         while !frame.is_empty() {
             stream.reserve_capacity(frame.len());
@@ -175,24 +179,24 @@
             }
         }
     }
-    // Every writer was dropped: this side has said all it will say.
+    // Every writer was dropped, so this side sends nothing more.
     let _ = stream.send_data(Bytes::new(), true);
 }
 
-/// Moves h2 data to the reader half until the stream ends or the reader is gone.
-pub(crate) async fn pump_in(mut stream: RecvStream, mut incoming: IncomingQueue) {
+/// Queues received messages for the reader until the stream ends or the reader was dropped.
+pub(crate) async fn receive_frames(mut stream: RecvStream, mut incoming: IncomingQueue) {
     let mut buffer = FrameBuffer::default();
     loop {
         let data = tokio::select! {
             data = stream.data() => data,
-            () = incoming.reader_gone() => return,
+            () = incoming.reader_dropped() => return,
         };
         match data {
             Some(Ok(data)) => {
                 let _ = stream.flow_control().release_capacity(data.len());
                 buffer.extend(&data);
             }
-            // The other end let go of this one stream; the connection itself is sound.
+            // The other end reset this stream only; the connection still works.
             Some(Err(error)) if error.is_reset() && error.is_remote() => return,
             Some(Err(error)) => {
                 incoming.push(Err(LinkError::Broken { detail: error.to_string() })).await;
--- a/crates/link/tests/handshake.rs
+++ b/crates/link/tests/handshake.rs
@@ -1,4 +1,4 @@
-//! Who may open a stream, and what bytes of strangers do to the others.
+//! Which processes may open a stream, and that invalid data does not affect other connections.
 
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 use briartray_link::{CallKind, ClientSettings, LinkClient, LinkError, LinkServer, LinkStream};
 use http::{Request, StatusCode};
 
-/// Generous, because a busy machine is no failure.
+/// Long enough that a busy machine does not fail the tests.
 const WAIT: Duration = Duration::from_secs(30);
 
 const TOKEN: &str = "the deployment's secret";
@@ -34,7 +34,7 @@
 }
 
 /// Sends one number and returns the answer.
-fn ask(client: &LinkClient, address: SocketAddr) -> Result<u64, LinkError> {
+fn request_successor(client: &LinkClient, address: SocketAddr) -> Result<u64, LinkError> {
     let (writer, reader) = client.open(address, CallKind::Dispatch);
     let _ = writer.send(&41_u64);
     reader.receive(WAIT)
@@ -48,35 +48,36 @@
         .expect("a runtime starts");
     runtime.block_on(async {
         let socket = tokio::net::TcpStream::connect(address).await.expect("the server listens");
-        let (sender, connection) = h2::client::handshake(socket).await.expect("h2 is spoken");
+        let (sender, connection) =
+            h2::client::handshake(socket).await.expect("the h2 handshake succeeds");
         tokio::spawn(connection);
         let mut request = Request::builder().method("POST").uri(format!("http://{address}{path}"));
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
         let request = request.body(()).expect("the request is valid");
-        let mut sender = sender.ready().await.expect("the connection holds");
+        let mut sender = sender.ready().await.expect("the connection is open");
         let (response, _body) = sender.send_request(request, true).expect("the request is sent");
         response.await.expect("the server answers").status()
     })
 }
 
 #[test]
-fn peer_with_the_secret_is_served() {
+fn peer_with_the_token_is_served() {
     let server = counting_server();
 
-    let answer = ask(&client(TOKEN), server.address());
+    let answer = request_successor(&client(TOKEN), server.address());
 
     assert_matches!(answer, Ok(42));
 }
 
 #[test]
-fn stranger_is_refused_before_any_message() {
-    // A process of another deployment, or an attacker on the network, opens a stream. It learns
-    // nothing but the remedy, and what it sent is never decoded.
+fn wrong_token_is_refused_before_any_message() {
+    // A process of another deployment, or an attacker on the network, opens a stream. It receives
+    // only the remedy, and its messages are never decoded.
     let server = counting_server();
 
-    let answer = ask(&client("another secret"), server.address());
+    let answer = request_successor(&client("another secret"), server.address());
 
     assert_matches!(answer, Err(LinkError::Handshake { status: 401, remedy, .. })
         if remedy.contains("cluster.token"));
@@ -84,8 +85,8 @@
 
 #[test]
 fn peer_of_another_version_is_refused() {
-    // During an upgrade a process of another version connects. Its messages could decode into
-    // something else, so none is taken.
+    // During an upgrade, a process of another version connects. Its messages could decode to
+    // wrong values, so none is accepted.
     let server = counting_server();
 
     let headers = [("x-briartray-token", TOKEN), ("x-briartray-version", "0")];
@@ -105,31 +106,30 @@
 }
 
 #[test]
-fn connection_that_speaks_no_h2_disturbs_nobody() {
-    // Something sends plain noise to the link port. Peers that are connected go on.
+fn non_h2_connection_leaves_other_peers_unaffected() {
+    // Another program sends arbitrary bytes to the link port. Connected peers must still be served.
     let server = counting_server();
     let peer = client(TOKEN);
-    let before = ask(&peer, server.address());
+    let before = request_successor(&peer, server.address());
 
     for length in [1_usize, 24, 4096, 100_000] {
-        let mut noise = TcpStream::connect(server.address()).expect("the server listens");
+        let mut garbage = TcpStream::connect(server.address()).expect("the server listens");
         let bytes: Vec<u8> = (0..length).map(|at| (at * 31 % 251) as u8).collect();
-        let _ = noise.write_all(&bytes);
+        let _ = garbage.write_all(&bytes);
     }
-    let after = ask(&peer, server.address());
+    let after = request_successor(&peer, server.address());
 
     assert_matches!((before, after), (Ok(42), Ok(42)));
 }
 
 #[test]
-fn address_without_a_listener_is_told_apart() {
-    // Nothing listens at the address. The caller may be told that nothing was sent, which is what
-    // makes another try safe.
+fn connect_failure_reports_nothing_sent() {
+    // Nothing listens at the address. The error shows that nothing was sent, so a retry is safe.
     let free = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port is free");
     let unused = free.local_addr().expect("it has an address");
     drop(free);
 
-    let answer = ask(&client(TOKEN), unused);
+    let answer = request_successor(&client(TOKEN), unused);
 
     assert!(answer.expect_err("nobody answers").nothing_sent());
 }
--- a/crates/model/src/derives.rs
+++ b/crates/model/src/derives.rs
@@ -1,6 +1,6 @@
-//! The common derive sets, kept in one place so that every value type carries the same traits.
+//! Macros that define value types, so that all types of one sort derive the same traits.
 
-/// Derives the set for plain data: debug, clone, equality and serde.
+/// Derives the traits of plain data: `Debug`, `Clone`, `PartialEq` and serde.
 #[macro_export]
 macro_rules! plain_value {
     ($($item:item)+) => {
@@ -11,7 +11,8 @@
     };
 }
 
-/// Derives the set for small copyable enumerations: plain data plus copy, order and hash.
+/// Derives the traits of small enumerations: those of plain data plus `Copy`, `Eq`, `Ord` and
+/// `Hash`. Variants are serialized in snake case where the format has names.
 #[macro_export]
 macro_rules! plain_choice {
     ($($item:item)+) => {
@@ -26,7 +27,7 @@
     };
 }
 
-/// Defines a name type around an owned string.
+/// Defines a newtype for a name, around an owned string.
 macro_rules! name_type {
     ($($(#[$doc:meta])* $name:ident;)+) => {
         $(
@@ -39,7 +40,7 @@
             pub struct $name(String);
 
             impl $name {
-                /// Wraps `text`.
+                /// Creates a name from `text`, which is not checked.
                 pub fn new(text: &str) -> Self {
                     Self(text.to_owned())
                 }
@@ -65,7 +66,7 @@
     };
 }
 
-/// Defines a number type around an unsigned integer.
+/// Defines a newtype for a number, around an unsigned integer.
 macro_rules! number_type {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)+) => {
         $(
@@ -78,7 +79,7 @@
             pub struct $name(pub $inner);
 
             impl $name {
-                /// The number after this one.
+                /// The number that follows this one.
                 pub fn next(self) -> Self {
                     Self(self.0 + 1)
                 }
@@ -93,7 +94,7 @@
     };
 }
 
-/// Defines a 128-bit identity that prints as 32 hexadecimal digits.
+/// Defines a newtype for a 128-bit identifier that is displayed as 32 hexadecimal digits.
 macro_rules! identity_type {
     ($($(#[$doc:meta])* $name:ident;)+) => {
         $(
@@ -106,7 +107,7 @@
             pub struct $name(pub u128);
 
             impl $name {
-                /// Reads 32 hexadecimal digits; `None` when `text` is anything else.
+                /// Parses 32 hexadecimal digits; `None` when `text` is anything else.
                 pub fn parse(text: &str) -> Option<Self> {
                     if text.len() != 32 {
                         return None;
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -1,38 +1,41 @@
-//! Terms of a rules lease: how long rules may be held without a confirmation.
+//! Terms of a rules lease: how long an entry may apply its rules without a confirmation from
+//! control.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Part of a lease that is not relied on, against clocks that run at different speeds.
+/// The holder gives up one part in this many of a lease, as a margin for clocks that run at
+/// different rates.
 ///
 /// Clocks of ordinary hosts differ by well under one part in a thousand; one part in a hundred
-/// leaves room for hosts whose clock is being corrected.
-const DRIFT_DIVISOR: u32 = 100;
+/// also covers hosts whose clock is being slewed.
+const CLOCK_DRIFT_DIVISOR: u32 = 100;
 
-/// Time from an entry's request within which its rules count as confirmed.
+/// Time from an entry's request for which its rules count as confirmed.
 pub const LEASE_LENGTH: Duration = Duration::from_millis(3000);
 
-/// Longest time without a confirmation unless the settings say otherwise, in milliseconds.
+/// Default for the longest time without a confirmation, in milliseconds.
 const DEFAULT_HOLD_MS: u64 = 10_000;
 
-/// What an entry does once its lease has run out without a renewal.
+/// What an entry does when its lease has expired without a renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HoldPolicy {
-    /// Go on under the last confirmed rules for this long in all, in milliseconds, then refuse.
+    /// Keep applying the last confirmed rules until this time after the request, in
+    /// milliseconds, then refuse.
     BoundedMs(u64),
-    /// Go on under the last confirmed rules. Changes are accepted only when every entry has
-    /// adopted them or an operator has struck off the entries that did not.
+    /// Keep applying the last confirmed rules without a limit. Changes are accepted only when
+    /// every entry has adopted them or an operator has removed the entries that did not.
     UntilForgotten,
 }
 
-/// Terms that the leader states with every grant.
+/// Terms that the leader sends with every grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTerms {
-    /// Time from an entry's request within which the rules count as confirmed.
+    /// Time from the entry's request for which the rules count as confirmed.
     pub lease: Duration,
-    /// What happens after that.
+    /// What the entry does after that.
     pub hold: HoldPolicy,
 }
 
@@ -43,23 +46,23 @@
 }
 
 impl LeaseTerms {
-    /// The terms with `hold` and the usual length.
+    /// Terms with `hold` and the length [`LEASE_LENGTH`].
     pub fn with_hold(hold: HoldPolicy) -> Self {
         Self { lease: LEASE_LENGTH, hold }
     }
 
-    /// Time from its request for which the rules count as confirmed at the entry.
+    /// Time from the entry's request for which the entry treats the rules as confirmed.
     pub fn confirmed(&self) -> Duration {
-        self.lease - self.lease / DRIFT_DIVISOR
+        self.lease - self.lease / CLOCK_DRIFT_DIVISOR
     }
 
-    /// Time from its request for which an entry may decide; `None` without a bound.
+    /// Time from the entry's request for which the entry may make decisions; `None` when unlimited.
     pub fn usable(&self) -> Option<Duration> {
-        self.longest().map(|longest| longest - longest / DRIFT_DIVISOR)
+        self.longest().map(|longest| longest - longest / CLOCK_DRIFT_DIVISOR)
     }
 
-    /// Time from its answer for which the leader must reckon with the entry; `None` without a
-    /// bound.
+    /// Time from the leader's answer for which the leader must assume that the entry may apply
+    /// its rules; `None` when unlimited.
     pub fn longest(&self) -> Option<Duration> {
         match self.hold {
             HoldPolicy::BoundedMs(hold) => Some(self.lease.max(Duration::from_millis(hold))),
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,5 @@
-//! Values shared by every briartray package: names, time, rules, settings and the messages that
-//! the system's own processes exchange. Nothing here performs input or output except loading a
-//! settings file.
+//! Types shared by every briartray package: names, time, rules, settings and the messages that
+//! briartray processes exchange. The only input or output done here is reading a settings file.
 
 #[macro_use]
 mod derives;
--- a/crates/model/src/message/dispatch.rs
+++ b/crates/model/src/message/dispatch.rs
@@ -1,4 +1,4 @@
-//! Entry to agent: one request handed to the first host of a group, and its answer.
+//! Entry to agent: one request sent to the first host of a group, and its answer.
 
 use crate::names::{
     AttemptId, FencingNumber, GroupId, IncarnationId, RequestId, RevisionNumber, ServiceName,
@@ -6,77 +6,78 @@
 };
 
 plain_value! {
-    /// What an entry asks of an agent.
+    /// A request from an entry to an agent.
     pub enum EntryRequest {
         /// Run one attempt.
         Dispatch(DispatchOrder),
-        /// Send the chunks of a known attempt again, from `offset` on.
+        /// Resend the chunks of a known attempt, starting at `offset`.
         Resume {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
-            /// Sequence number of the first chunk still missing.
+            /// Sequence number of the first missing chunk.
             offset: u64,
         },
-        /// Stop a known attempt; its caller has gone.
+        /// Stop a known attempt because its caller has disconnected.
         Cancel {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
         },
-        /// Make sure that an attempt never starts, and tell whether it did.
+        /// Prevent an attempt from starting, and report whether it has started already.
         Tombstone {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
             /// Time since the entry sent the dispatch, in milliseconds on its own clock.
             age_ms: u32,
         },
-        /// The entry has the whole answer; the agent may drop its buffer.
+        /// The entry has the complete answer; the agent may free its buffer.
         Received {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
         },
     }
 
     /// One attempt at one request.
     pub struct DispatchOrder {
-        /// Identity of the attempt; every answer carries it.
+        /// Id of the attempt; every reply repeats it.
         pub attempt: AttemptId,
-        /// Identity of the request across attempts.
+        /// Id of the request, the same for all of its attempts.
         pub request: RequestId,
         /// Trace that the attempt belongs to.
         pub trace: TraceContext,
-        /// Group that is asked.
+        /// Group that is to run the attempt.
         pub group: GroupId,
-        /// Fencing number under which the entry knows the group.
+        /// Fencing number of the group as known to the entry.
         pub fencing: FencingNumber,
-        /// Start of the agent process that is meant; another one refuses the order.
+        /// Incarnation of the agent process that the order is for; a process with another one
+        /// refuses it.
         pub incarnation: u64,
-        /// Rules revision under which the entry decided.
+        /// Revision of the rules that the entry applied.
         pub revision: RevisionNumber,
-        /// Service asked for.
+        /// Service that is called.
         pub service: ServiceName,
         /// Team of the caller.
         pub team: TeamName,
         /// What to call on the endpoint.
         pub target: CallTarget,
-        /// Request body, passed on unchanged.
+        /// Request body, forwarded unchanged.
         pub body: Vec<u8>,
         /// Whether the answer is a stream of events.
         pub stream: bool,
-        /// Engine priority; higher goes first.
+        /// Engine priority; higher values are served first.
         pub priority: u8,
-        /// Time left until the deadline, in milliseconds, when the entry sent the order.
+        /// Time left until the deadline when the entry sent the order, in milliseconds.
         pub deadline_ms: u32,
-        /// Whether the call may not be repeated.
+        /// Whether the call must run at most once.
         pub once: bool,
     }
 
-    /// Method and path on the endpoint, with the headers that are passed on.
+    /// Method and path on the endpoint, with the headers that are forwarded.
     pub struct CallTarget {
         /// HTTP method.
         pub method: String,
         /// Path and query.
         pub path: String,
-        /// Headers passed on unchanged.
+        /// Headers that are forwarded unchanged.
         pub headers: Vec<HeaderField>,
     }
 
@@ -88,93 +89,93 @@
         pub value: String,
     }
 
-    /// What an agent answers.
+    /// A reply from an agent.
     pub enum AgentReply {
-        /// The gate is passed and the endpoint is being called.
+        /// The attempt passed the agent's checks and the endpoint is being called.
         Accepted {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
         },
-        /// The attempt was not run and never will be.
+        /// The attempt was not run and will not be run.
         Refused {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
-            /// Why.
+            /// Reason of the refusal.
             reason: RefusalReason,
             /// Load at the time of the refusal.
             load: LoadReport,
         },
         /// Status and content type of the endpoint's answer.
         Head {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
             /// HTTP status.
             status: u16,
             /// Content type of the body.
             content_type: String,
         },
-        /// One piece of the answer.
+        /// One chunk of the answer.
         Chunk {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
-            /// Position of the piece, from zero.
+            /// Position of the chunk, from zero.
             sequence: u64,
-            /// The piece itself: one event of a stream, or the whole body.
+            /// One event of a stream, or the whole body.
             data: Vec<u8>,
         },
-        /// The attempt is alive although no chunk is ready.
+        /// The attempt is still running but has no new chunk.
         Progress {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
             /// Sequence number of the next chunk.
             next_sequence: u64,
         },
         /// The answer is complete.
         End {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
-            /// How many chunks it has.
+            /// Number of chunks in the answer.
             count: u64,
             /// Load after the attempt.
             load: LoadReport,
         },
-        /// The attempt ended without a whole answer.
+        /// The attempt ended without a complete answer.
         Failed {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
-            /// What is known about its effect.
+            /// Whether it ran, as far as that is known.
             outcome: CallOutcome,
-            /// What went wrong, for people.
+            /// Description of the failure, for logs and error messages.
             detail: String,
-            /// The start of the endpoint that crashed while it ran the attempt, where it did.
+            /// Incarnation of the endpoint that crashed while it ran the attempt, if it did.
             crashed: Option<IncarnationId>,
         },
         /// Answer to a tombstone.
         Tombstone {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
-            /// What the agent knows of it.
+            /// What the agent knows about the attempt.
             state: TombstoneState,
-            /// Start of the agent process that answers.
+            /// Incarnation of the agent process that answers.
             incarnation: u64,
         },
-        /// The attempt, or the part of it that was asked for, is not here.
+        /// The agent does not have the attempt, or not the chunks that were requested.
         NotHeld {
-            /// Which attempt.
+            /// The attempt.
             attempt: AttemptId,
         },
     }
 
-    /// Load of one group as its first host knows it.
+    /// Load of one group as seen by its first host.
     #[derive(Copy, Default)]
     pub struct LoadReport {
-        /// Attempts handed to the endpoint and not ended.
+        /// Attempts that were sent to the endpoint and have not ended.
         pub in_flight: u32,
-        /// Attempts that wait in the agent.
+        /// Attempts that wait in the agent's queue.
         pub queued: u32,
-        /// How many attempts may be in flight.
+        /// Number of attempts that may be in flight.
         pub capacity: u32,
-        /// Recent time per engine step or call, in microseconds.
+        /// Recent duration of an engine step or call, in microseconds.
         pub step_micros: u32,
     }
 }
@@ -182,9 +183,9 @@
 plain_choice! {
     /// Why an agent did not run an attempt.
     pub enum RefusalReason {
-        /// A member's lease is missing.
+        /// A member of the group has not granted its lease.
         GroupNotWhole,
-        /// The entry's fencing number or group is out of date.
+        /// The group or fencing number in the order is out of date.
         WrongGroup,
         /// The agent's queue is full.
         QueueFull,
@@ -192,19 +193,19 @@
         Leaving,
         /// The deadline cannot be met.
         DeadlinePassed,
-        /// A tombstone was set before the dispatch came.
+        /// A tombstone for the attempt arrived before the dispatch.
         Tombstoned,
-        /// The entry decided under rules older than the agent knows.
+        /// The entry applied rules older than those the agent knows of.
         StaleRules,
         /// The endpoint could not be reached; nothing was sent to it.
         EndpointUnreachable,
-        /// The order was on its way for longer than the agent remembers tombstones.
+        /// The order was in transit for longer than the agent keeps tombstones.
         TooOld,
     }
 
-    /// What a caller is told about the effect of a request.
+    /// Whether a request ran, as reported to its caller.
     pub enum CallOutcome {
-        /// It was not run and never will be.
+        /// It was not run and will not be run.
         NotRun,
         /// It ran.
         Ran,
@@ -212,21 +213,21 @@
         Unknown,
     }
 
-    /// What an agent knows of an attempt when asked for a tombstone.
+    /// What an agent knows about an attempt when it receives a tombstone for it.
     pub enum TombstoneState {
-        /// It was not handed to the endpoint; it will be refused if it comes.
+        /// It was not sent to the endpoint and will be refused if it arrives later.
         NeverRuns,
-        /// The agent may have forgotten it, or has no room to remember the tombstone.
+        /// The agent may have dropped its record of the attempt, or has no room for the tombstone.
         CannotTell,
-        /// It came and is running.
+        /// It arrived and is running.
         Running,
-        /// It came and ended.
+        /// It arrived and has ended.
         Ended,
     }
 }
 
 impl AgentReply {
-    /// The attempt that the frame belongs to.
+    /// The attempt that the reply belongs to.
     pub fn attempt(&self) -> AttemptId {
         match self {
             Self::Accepted { attempt }
@@ -242,7 +243,7 @@
     }
 }
 
-/// Trace and span identity as in the W3C `traceparent` header.
+/// Trace and span ids as in the W3C `traceparent` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct TraceContext {
     /// Trace id; never zero in a valid context.
@@ -254,7 +255,7 @@
 }
 
 impl TraceContext {
-    /// Reads a `traceparent` header of version 00; `None` when malformed.
+    /// Parses a `traceparent` header of version 00; `None` when malformed.
     pub fn parse(header: &str) -> Option<Self> {
         let mut parts = header.trim().split('-');
         let (version, trace, span, flags) =
@@ -271,7 +272,7 @@
         Some(Self { trace_id, span_id, sampled: flags & 1 == 1 })
     }
 
-    /// Writes the `traceparent` header.
+    /// Formats the `traceparent` header.
     pub fn to_header(&self) -> String {
         format!("00-{:032x}-{:016x}-{:02x}", self.trace_id, self.span_id, u8::from(self.sampled))
     }
--- a/crates/model/src/message/fleet.rs
+++ b/crates/model/src/message/fleet.rs
@@ -1,4 +1,4 @@
-//! Agent to control, and first host to member: who is there and who belongs together.
+//! Agent to control: hosts and their group assignments. First host to member: group leases.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 };
 
 plain_value! {
-    /// What a host says of itself.
+    /// Description that a host's agent sends to control.
     pub struct HostAnnouncement {
         /// The host.
         pub host: HostName,
@@ -17,65 +17,65 @@
         pub domain: DomainName,
         /// Its provider.
         pub provider: ProviderName,
-        /// Service it is meant for.
+        /// Service it is intended for.
         pub service: ServiceName,
-        /// Accelerators on it.
+        /// Number of accelerators.
         pub accelerators: u32,
-        /// Where its agent listens.
+        /// Address at which its agent listens.
         pub link: SocketAddr,
         /// Whether its endpoint refuses orders with an old fencing number.
         pub checks_fencing: bool,
-        /// Number of this start of the agent process, random.
+        /// Random number that identifies this start of the agent process.
         pub incarnation: u64,
-        /// Whether the host is on its way out.
+        /// Whether the host is leaving the fleet.
         pub leaving: bool,
     }
 
-    /// What an agent tells control; the first one on a stream is `Announce`.
+    /// A report from an agent to control; the first one on a stream is `Announce`.
     pub enum AgentReport {
-        /// The host is there.
+        /// The host is available, with its description.
         Announce(HostAnnouncement),
-        /// A group changed between whole and broken; sent by its first host.
+        /// A group became whole or stopped being whole; sent by its first host.
         GroupState {
-            /// Which group.
+            /// The group.
             group: GroupId,
-            /// Fencing number of the report.
+            /// Fencing number of the group.
             fencing: FencingNumber,
-            /// Whether every member's lease is held.
+            /// Whether the first host holds a lease of every member.
             whole: bool,
-            /// Members whose lease is missing.
+            /// Members whose lease is not held.
             missing: Vec<HostName>,
         },
-        /// No work is left at a group that was told to leave; sent by its first host.
+        /// A group that received `Leave` has finished its work; sent by its first host.
         Drained {
-            /// Which host.
+            /// The host.
             host: HostName,
             /// Fencing number of the group.
             fencing: FencingNumber,
         },
     }
 
-    /// What control tells an agent.
+    /// A directive from control to an agent.
     pub enum ControlDirective {
         /// The host belongs to a group.
         Assign(GroupAssignment),
-        /// The host belongs to no group, with the highest fencing number given to it so far.
+        /// The host belongs to no group.
         Free {
-            /// Highest fencing number that control has given out for this host.
+            /// Highest fencing number that control has issued for this host.
             fencing: FencingNumber,
         },
-        /// The group that the host leads takes no new work, finishes what runs, and then reports
-        /// `Drained`.
+        /// The group whose first host this is takes no new work, finishes the work in progress
+        /// and then reports `Drained`.
         Leave {
-            /// Fencing number of the group; another group of the host is not concerned.
+            /// Fencing number of the group; other groups of the host are not affected.
             fencing: FencingNumber,
         },
-        /// The group that the host leads takes work again.
+        /// The group whose first host this is takes work again; revokes `Leave`.
         Stay {
             /// Fencing number of the group.
             fencing: FencingNumber,
         },
-        /// The host takes part in no work any more and may be shut down.
+        /// The host has no more work and may be shut down.
         MayStop,
     }
 
@@ -85,11 +85,11 @@
         pub group: GroupId,
         /// Fencing number; higher than every earlier one of its hosts.
         pub fencing: FencingNumber,
-        /// Service it serves.
+        /// Service that it serves.
         pub service: ServiceName,
         /// Members in order; the first one admits requests.
         pub members: Vec<GroupMember>,
-        /// How many attempts may be in flight.
+        /// Number of attempts that may be in flight.
         pub capacity: u32,
     }
 
@@ -97,39 +97,39 @@
     pub struct GroupMember {
         /// Its host.
         pub host: HostName,
-        /// Where its agent listens.
+        /// Address at which its agent listens.
         pub link: SocketAddr,
     }
 
-    /// What a group's first host asks of a member.
+    /// A request from a group's first host to a member.
     pub enum MemberRequest {
-        /// Promise to stay in the group for a while.
+        /// Grant a lease: stay in the group for a limited time.
         Lease {
             /// The group.
             group: GroupId,
             /// Its fencing number.
             fencing: FencingNumber,
-            /// Pairs the grant with this request.
+            /// Matches the grant to this request.
             nonce: LeaseNonce,
         },
     }
 
-    /// What a member answers.
+    /// A reply from a member.
     pub enum MemberReply {
-        /// The member stays for `duration_ms` from the moment the request was sent.
+        /// The member stays in the group for `duration_ms` from the time the request was sent.
         Granted {
             /// The request's nonce.
             nonce: LeaseNonce,
-            /// How long the promise holds, in milliseconds.
+            /// Duration of the lease, in milliseconds.
             duration_ms: u32,
             /// Whether the member's endpoint is up.
             endpoint_ready: bool,
         },
-        /// The member does not belong to the group, or must wait.
+        /// The member is not in the group, or must wait before it may grant a lease.
         Refused {
             /// The request's nonce.
             nonce: LeaseNonce,
-            /// Highest fencing number the member knows.
+            /// Highest fencing number that the member knows.
             fencing: FencingNumber,
         },
     }
--- a/crates/model/src/message/ledger.rs
+++ b/crates/model/src/message/ledger.rs
@@ -1,21 +1,21 @@
-//! Entry to control: claims for calls that may not be repeated.
+//! Entry to control: claims for calls that must run at most once.
 
 use sha2::{Digest, Sha256};
 
 use super::CallTarget;
 use crate::names::{AttemptId, TeamName};
 
-/// Longest key that a caller may choose, in bytes.
+/// Longest idempotency key that a caller may send, in bytes.
 pub const MAX_KEY_BYTES: usize = 255;
 
-/// Largest answer that the ledger keeps, in bytes.
+/// Largest answer that the ledger stores, in bytes.
 pub const MAX_KEPT_ANSWER_BYTES: usize = 32 * 1024;
 
 plain_value! {
-    /// A key under which a call runs at most once.
+    /// An idempotency key; the calls with one key run at most once.
     #[derive(Eq, PartialOrd, Ord)]
     pub struct ClaimKey {
-        /// Team that chose the key.
+        /// Team whose caller sent the key.
         pub team: TeamName,
         /// The key itself.
         pub key: String,
@@ -23,9 +23,9 @@
 
     /// One request on a ledger stream; many may be in flight.
     pub struct LedgerCall {
-        /// Pairs the answer with this call; unique on its stream.
+        /// Matches the answer to this call; unique on its stream.
         pub number: u64,
-        /// What is asked.
+        /// The request.
         pub request: LedgerRequest,
     }
 
@@ -33,11 +33,11 @@
     pub struct LedgerAnswer {
         /// The call's number.
         pub number: u64,
-        /// What the ledger says.
+        /// The ledger's reply.
         pub reply: LedgerReply,
     }
 
-    /// What an entry asks of the ledger.
+    /// A request from an entry to the ledger.
     pub enum LedgerRequest {
         /// Reserve the key before dispatch.
         Claim {
@@ -45,19 +45,19 @@
             key: ClaimKey,
             /// Digest of method, path and body.
             digest: [u8; 32],
-            /// The one attempt that may run.
+            /// The only attempt that may run.
             attempt: AttemptId,
         },
-        /// Keep the answer of a claimed call.
+        /// Store the answer of a claimed call.
         Complete {
             /// The key.
             key: ClaimKey,
             /// The attempt that ran.
             attempt: AttemptId,
-            /// Its answer; none when it is too large to keep.
+            /// Its answer; `None` when it is too large to store.
             answer: Option<KeptAnswer>,
         },
-        /// Give the key back: the attempt was proved not to have run.
+        /// Release the key: it is certain that the attempt did not run.
         Release {
             /// The key.
             key: ClaimKey,
@@ -66,50 +66,50 @@
         },
     }
 
-    /// What the ledger answers.
+    /// A reply from the ledger.
     pub enum LedgerReply {
-        /// The key is yours; dispatch once.
+        /// The key is reserved for this attempt; dispatch it once.
         Claimed,
-        /// The call ran before; this is its answer.
+        /// The call has already run; this is its answer.
         Answered(KeptAnswer),
-        /// The call ran before; its answer is not kept.
+        /// The call has already run, but its answer was not stored.
         AnswerNotKept,
-        /// The call was claimed before and its answer is not known.
+        /// The call was already claimed, and its answer is not known.
         Pending {
             /// The attempt that holds the key.
             attempt: AttemptId,
         },
-        /// The key was used with another body.
+        /// The key was already used for a call with another digest.
         Mismatch,
         /// The change is recorded.
         Recorded,
-        /// No majority of control hosts answers; nothing was recorded for certain.
+        /// No majority of control hosts answered; the change may or may not be recorded.
         Unavailable,
-        /// The ledger holds as many claims as it may.
+        /// The ledger is at its limit of claims.
         Full,
     }
 
-    /// The answer of a call that ran once.
+    /// The stored answer of a call.
     pub struct KeptAnswer {
         /// HTTP status.
         pub status: u16,
         /// Content type.
         pub content_type: String,
-        /// Body, bounded by the ledger's limit.
+        /// Body; the answer is at most [`MAX_KEPT_ANSWER_BYTES`] in size.
         pub body: KeptBody,
     }
 
-    /// Body of a kept answer.
+    /// Body of a stored answer.
     pub enum KeptBody {
         /// One body.
         Whole(Vec<u8>),
-        /// The events of a stream that came with its end mark.
+        /// The events of a stream that was received up to its end marker.
         Events(Vec<Vec<u8>>),
     }
 }
 
 impl KeptAnswer {
-    /// Bytes that the answer takes.
+    /// Size of body and content type, in bytes.
     pub fn size(&self) -> usize {
         let body = match &self.body {
             KeptBody::Whole(body) => body.len(),
@@ -119,10 +119,10 @@
     }
 }
 
-/// Digest of what a key stands for: method, path with query, and body.
+/// SHA-256 digest of a call's method, path with query, and body.
 pub fn call_digest(target: &CallTarget, body: &[u8]) -> [u8; 32] {
     let mut digest = Sha256::new();
-    // Each part is preceded by its length, so that no two calls run into the same bytes.
+    // The length before each part keeps different calls from hashing the same bytes.
     for part in [target.method.as_bytes(), target.path.as_bytes(), body] {
         digest.update((part.len() as u64).to_le_bytes());
         digest.update(part);
--- a/crates/model/src/message/mod.rs
+++ b/crates/model/src/message/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between the system's own processes, one module per conversation.
+//! Messages between briartray processes, one module per protocol.
 //!
-//! Every message is a plain value encoded by [`crate::codec`]. A conversation is one stream: the
-//! side that opens it sends a request type, the other side answers with a reply type.
+//! Every message is encoded by [`crate::codec`]. Each protocol runs on a stream of its own: the
+//! side that opens the stream sends one message type, and the other side sends another.
 
 mod dispatch;
 mod fleet;
--- a/crates/model/src/message/quarantine.rs
+++ b/crates/model/src/message/quarantine.rs
@@ -1,54 +1,56 @@
-//! Runs that say something about their requests, and the requests that are refused for it.
+//! Quarantine: reports of runs during which an endpoint crashed or that completed, and the
+//! requests that are refused because they crash endpoints.
 
 use crate::names::{IncarnationId, RequestPrint, TeamName, TermNumber};
 
 plain_choice! {
-    /// Which view of a leader somebody holds: the leader's term, and the number of the view in that term.
+    /// Version of a quarantine view: the term of the leader that created it, and its number in that
+    /// term.
     #[derive(Default)]
     pub struct ViewVersion {
-        /// Term of the leader that made it.
+        /// Term of the leader that created the view.
         pub term: TermNumber,
-        /// Its number in the term.
+        /// Number of the view in the term.
         pub number: u64,
     }
 }
 
 plain_value! {
-    /// How a run ended, as far as it says something about the request.
+    /// How a run ended, where that shows whether the request crashes endpoints.
     pub enum RunEnd {
         /// The endpoint crashed while the request ran there.
         Crashed {
             /// The endpoint.
             endpoint: IncarnationId,
-            /// Time for which the request was there, in milliseconds.
+            /// Time for which the request was at the endpoint, in milliseconds.
             ran_ms: u64,
-            /// Rule that the request came under, for operators.
+            /// Rule that admitted the request, shown to operators.
             rule: String,
-            /// Team of its caller, for operators.
+            /// Team of its caller, shown to operators.
             team: Option<TeamName>,
         },
-        /// It ran to its end.
+        /// The run completed.
         Whole,
     }
 
     /// One run that an entry reports.
     pub struct RunEvent {
-        /// The request.
+        /// Fingerprint of the request.
         pub print: RequestPrint,
         /// Time since the run ended, in milliseconds.
         pub age_ms: u64,
-        /// How it ended.
+        /// How the run ended.
         pub end: RunEnd,
     }
 
-    /// What entries are told of the quarantine.
+    /// The quarantine as sent to entries.
     #[derive(Default)]
     pub struct PrintView {
-        /// Which view this is.
+        /// Version of this view.
         pub version: ViewVersion,
-        /// Requests that are refused, in order.
+        /// Requests that are refused, in ascending order.
         pub quarantined: Vec<RequestPrint>,
-        /// Requests that may have to be quarantined, in order.
+        /// Requests that are suspected and may be quarantined, in ascending order.
         pub suspects: Vec<RequestPrint>,
     }
 }
--- a/crates/model/src/message/update.rs
+++ b/crates/model/src/message/update.rs
@@ -1,4 +1,5 @@
-//! What is sent to an entry whose snapshot is out of date: only what changed, where that is known.
+//! Updates for an entry whose snapshot is out of date: only the changes where the entry's version
+//! is known, otherwise the whole snapshot.
 
 use crate::names::{GroupId, RevisionNumber};
 
@@ -7,25 +8,25 @@
 plain_value! {
     /// A newer snapshot, whole or as changes.
     pub enum SnapshotUpdate {
-        /// All of it.
+        /// The whole snapshot.
         Whole(RoutingSnapshot),
-        /// What is different from a snapshot that the entry has.
+        /// The difference from a snapshot that the entry has.
         Changes(SnapshotChange),
     }
 
-    /// The way from one snapshot to a later one.
+    /// The difference between a snapshot and a later one.
     pub struct SnapshotChange {
-        /// Version that it starts from.
+        /// Version that the change applies to.
         pub from: u64,
-        /// Version that it leads to.
+        /// Version that results from the change.
         pub to: u64,
-        /// The rules, when they are different.
+        /// The new rules, if they changed.
         pub rules: Option<RuleText>,
-        /// Groups that are new or different, in id order.
+        /// Groups that were added or changed, in id order.
         pub changed: Vec<GroupRecord>,
-        /// Groups that are gone, in id order.
+        /// Groups that were removed, in id order.
         pub gone: Vec<GroupId>,
-        /// All leaving marks, when they are different.
+        /// The complete new list of leaving groups, if it changed.
         pub leaving: Option<Vec<LeavingMark>>,
     }
 
@@ -33,13 +34,13 @@
     pub struct RuleText {
         /// Revision.
         pub revision: RevisionNumber,
-        /// The document in YAML.
+        /// Text of the document in YAML.
         pub text: String,
     }
 }
 
 impl SnapshotChange {
-    /// The way from `earlier` to `later`; both hold their groups in id order.
+    /// The change from `earlier` to `later`; both must have their groups in id order.
     pub fn between(earlier: &RoutingSnapshot, later: &RoutingSnapshot) -> Self {
         let (mut changed, mut gone) = (Vec::new(), Vec::new());
         let mut known = earlier.groups.iter().peekable();
@@ -65,7 +66,7 @@
         }
     }
 
-    /// This change followed by `next`, as one.
+    /// Combines this change and the following one, `next`, into one.
     #[must_use]
     pub fn followed_by(mut self, next: &Self) -> Self {
         self.to = next.to;
@@ -91,7 +92,7 @@
 }
 
 impl RoutingSnapshot {
-    /// The snapshot after `change`; `None` when the change starts from another version.
+    /// The snapshot that results from `change`; `None` when the change applies to another version.
     pub fn after(&self, change: &SnapshotChange) -> Option<Self> {
         if change.from != self.version {
             return None;
--- a/crates/model/src/message/watch.rs
+++ b/crates/model/src/message/watch.rs
@@ -1,4 +1,4 @@
-//! Entry to control: rules, groups and leaving marks, under a lease.
+//! Entry to control: rules, groups and leaving groups, under a rules lease.
 
 use std::net::SocketAddr;
 
@@ -11,30 +11,30 @@
 };
 
 plain_value! {
-    /// One renewal by a watcher.
+    /// A lease renewal by an entry, called the watcher here.
     pub struct WatchRequest {
         /// The watching process.
         pub node: NodeName,
-        /// Pairs the lease with this request; timed by the watcher from sending.
+        /// Matches the reply to this request; the lease counts from the time it was sent.
         pub nonce: LeaseNonce,
-        /// Version of the snapshot the watcher has adopted; zero for none.
+        /// Version of the snapshot that the watcher has adopted; zero for none.
         pub adopted: u64,
-        /// Revision of the rules under which it decides; zero for none.
+        /// Revision of the rules that it applies; zero for none.
         pub revision: RevisionNumber,
-        /// Whether the watcher has stopped and will decide nothing more.
+        /// Whether the watcher has stopped and will make no more decisions.
         pub leaving: bool,
-        /// Number of this start of the watching process, random.
+        /// Random number that identifies this start of the watching process.
         pub incarnation: u64,
-        /// Limits that the watcher applies.
+        /// Usage and demand of each limit that the watcher applies.
         pub demands: Vec<LimitDemand>,
-        /// View of the quarantine that the watcher holds.
+        /// Version of the quarantine view that the watcher has.
         pub prints: ViewVersion,
-        /// Runs that say something about their requests.
+        /// Runs that may lead to a quarantine or speak against one.
         pub runs: Vec<RunEvent>,
     }
 
-    /// What an entry could use of one team's limit and what it holds; rates in thousandths of a
-    /// request per second.
+    /// What an entry could use of one team's limit, and its current share. Rates are in thousandths
+    /// of a request per second.
     pub struct LimitDemand {
         /// Rule that sets the limit.
         pub rule: RuleName,
@@ -42,25 +42,25 @@
         pub team: TeamName,
         /// Requests in flight that the entry could use.
         pub running_demand: u64,
-        /// Requests in flight that it may have.
+        /// Requests in flight that its current share allows.
         pub running_held: u64,
-        /// Requests in flight that it has.
+        /// Requests that are in flight.
         pub in_flight: u64,
-        /// Rate that it could use.
+        /// Rate that the entry could use.
         pub rate_demand: u64,
-        /// Rate that it may use.
+        /// Rate that its current share allows.
         pub rate_held: u64,
     }
 
-    /// An entry's share of one team's limit, for as long as the rules are confirmed.
+    /// An entry's share of one team's limit, valid for as long as the rules are confirmed.
     pub struct LimitGrant {
         /// Rule that sets the limit.
         pub rule: RuleName,
         /// Team that is limited.
         pub team: TeamName,
-        /// Requests in flight; absent when the rule does not limit them.
+        /// Requests in flight; `None` when the rule does not limit them.
         pub running: Option<u64>,
-        /// Rate in thousandths per second; absent when the rule does not limit it.
+        /// Rate in thousandths of a request per second; `None` when the rule does not limit it.
         pub rate: Option<u64>,
     }
 
@@ -68,38 +68,38 @@
     pub struct WatchReply {
         /// The request's nonce.
         pub nonce: LeaseNonce,
-        /// How long the rules may be held, counted by the watcher from sending.
+        /// How long the rules may be applied, counted from the time the watcher sent the request.
         pub terms: LeaseTerms,
-        /// A newer snapshot, when there is one.
+        /// A newer snapshot, if there is one.
         pub snapshot: Option<SnapshotUpdate>,
-        /// Shares of the limits that were asked for.
+        /// Shares of the limits in the request.
         pub shares: Vec<LimitGrant>,
-        /// The quarantine, when the watcher holds another view of it.
+        /// The quarantine view, if the watcher has another version of it.
         pub prints: Option<PrintView>,
     }
 
-    /// Everything an entry needs to decide.
+    /// Everything that an entry needs for its decisions.
     #[derive(Default)]
     pub struct RoutingSnapshot {
-        /// Version of the snapshot; grows with every change of any part.
+        /// Version of the snapshot; increases with every change.
         pub version: u64,
         /// Revision of the rule book.
         pub revision: RevisionNumber,
         /// The rule document as accepted, in YAML.
         pub rules: String,
-        /// Groups that exist, in id order.
+        /// All groups, in id order.
         pub groups: Vec<GroupRecord>,
-        /// Endpoints that are leaving.
+        /// Groups that are leaving.
         pub leaving: Vec<LeavingMark>,
     }
 
-    /// One group as entries see it.
+    /// One group, as sent to entries.
     pub struct GroupRecord {
         /// The group.
         pub group: GroupId,
         /// Its fencing number.
         pub fencing: FencingNumber,
-        /// Service it serves.
+        /// Service that it serves.
         pub service: ServiceName,
         /// Availability zone of its first host.
         pub zone: ZoneName,
@@ -109,30 +109,30 @@
         pub provider: ProviderName,
         /// Its first host.
         pub first: HostName,
-        /// Where the first host's agent listens.
+        /// Address at which the first host's agent listens.
         pub link: SocketAddr,
-        /// Start of the first host's agent process; zero while the leader has not heard of it.
+        /// Incarnation of the first host's agent process; zero while the leader does not know it.
         pub incarnation: u64,
-        /// Whether its first host reported it whole.
+        /// Whether its first host reported that it holds a lease of every member.
         pub whole: bool,
-        /// How many attempts it may have in flight.
+        /// Number of attempts that it may have in flight.
         pub capacity: u32,
     }
 
     /// A group that takes no new work.
     pub struct LeavingMark {
-        /// Which group.
+        /// The group.
         pub group: GroupId,
     }
 }
 
 impl RoutingSnapshot {
-    /// Takes over from `earlier` which start of each first host's agent is meant, where this
-    /// snapshot does not know it.
+    /// Copies agent incarnations from `earlier` for groups whose incarnation this snapshot does
+    /// not know.
     ///
-    /// A new leader has not heard every agent yet. Agents refuse orders that were meant for
-    /// another start of theirs, so without this every replica would refuse until its agent had
-    /// found the new leader. Should the agent have restarted meanwhile, it still refuses.
+    /// A new leader has not received a report from every agent yet. Agents refuse orders for
+    /// another incarnation, so without this every replica would refuse until its agent had
+    /// connected to the new leader. An agent that restarted in the meantime still refuses.
     pub fn keep_incarnations(&mut self, earlier: &Self) {
         for record in self.groups.iter_mut().filter(|record| record.incarnation == 0) {
             let known = earlier
--- a/crates/model/src/names/incarnation.rs
+++ b/crates/model/src/names/incarnation.rs
@@ -1,12 +1,13 @@
-//! One start of an endpoint's process.
+//! Identity of one start of an endpoint's process.
 
 use std::fmt;
 
 plain_value! {
-    /// One start of an endpoint's process: the endpoint's name and, where it tells, when it started.
+    /// One start of an endpoint's process: the endpoint's name and, if it reports one, the time at
+    /// which it started.
     ///
-    /// An endpoint may start again under its old name. It then knows nothing of its groups and
-    /// counts anew, so what was agreed on with its earlier start must not be taken to hold for it.
+    /// An endpoint may restart under the same name. It has then lost its group state and its
+    /// counters start over, so state agreed on with an earlier start must not be applied to it.
     #[derive(Eq, PartialOrd, Ord, Hash, Default)]
     pub struct IncarnationId {
         endpoint: String,
@@ -16,12 +17,12 @@
 }
 
 impl IncarnationId {
-    /// The only start known of the endpoint called `endpoint`.
+    /// The start of an endpoint that does not report a start time.
     pub fn new(endpoint: &str) -> Self {
         Self { endpoint: endpoint.to_owned(), started: None }
     }
 
-    /// The start of `endpoint` at `started`, in Unix milliseconds.
+    /// The start of `endpoint` at `started`, in Unix milliseconds; `None` when not reported.
     pub fn started(endpoint: &str, started: Option<u64>) -> Self {
         Self { started, ..Self::new(endpoint) }
     }
@@ -31,12 +32,13 @@
         &self.endpoint
     }
 
-    /// When it started, in Unix milliseconds, where it tells.
+    /// Time of the start in Unix milliseconds, if the endpoint reports it.
     pub fn started_at(&self) -> Option<u64> {
         self.started
     }
 
-    /// Whether this is an earlier start of the endpoint that `other` is a start of.
+    /// Whether this is an earlier start of the same endpoint than `other`. A start without a time
+    /// counts as earlier than any with one.
     pub fn is_before(&self, other: &Self) -> bool {
         self.endpoint == other.endpoint && self.started < other.started
     }
--- a/crates/model/src/names/mod.rs
+++ b/crates/model/src/names/mod.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things across processes.
+//! Names, numbers and identifiers that are shared between processes.
 
 mod incarnation;
 
@@ -9,44 +9,45 @@
     HostName;
     /// An availability zone.
     ZoneName;
-    /// A fabric domain: hosts with fast links among themselves.
+    /// A fabric domain: hosts connected by fast links.
     DomainName;
-    /// A provider of hosts.
+    /// A provider of hosts, such as a cloud.
     ProviderName;
     /// A served model or plain service.
     ServiceName;
-    /// A team of callers with limits of its own.
+    /// A team of callers that has its own limits.
     TeamName;
-    /// A process of the system, unique in the deployment.
+    /// A briartray process, unique in the deployment.
     NodeName;
-    /// A rule, unique in its book.
+    /// A rule, unique in its rule book.
     RuleName;
 }
 
 number_type! {
-    /// A group of hosts that serves as one replica; never reused.
+    /// A group of hosts that serves as one replica; numbers are never reused.
     GroupId(u64);
-    /// A fencing number; grows with every new assignment of a host.
+    /// A fencing number; increases with every new assignment of a host.
     FencingNumber(u64);
-    /// A revision of the rule book; grows by one with every accepted change.
+    /// A revision of the rule book; increases by one with every accepted change.
     RevisionNumber(u64);
-    /// An election term of the control log.
+    /// An election term of the replicated control log.
     TermNumber(u64);
-    /// A position in the control log, starting at one.
+    /// A position in the replicated control log, starting at one.
     LogIndex(u64);
-    /// A nonce that pairs a lease request with its grant.
+    /// A nonce that matches a lease grant to its request.
     LeaseNonce(u64);
     /// A planned stop.
     StopId(u64);
 }
 
 identity_type! {
-    /// One attempt at one request; checked at every hop and on every chunk.
+    /// One attempt at one request; checked by every process that handles it and on every chunk.
     AttemptId;
-    /// One caller request, across all of its attempts.
+    /// One request of a caller, the same for all of its attempts.
     RequestId;
-    /// One change sent by an operator; a resend carries the same id.
+    /// One change sent by an operator; a resend has the same id.
     ChangeId;
-    /// What a caller asks for, whatever id a copy of the request has.
+    /// Fingerprint (keyed hash) of a request's content; the same for every copy of the request,
+    /// whatever its id.
     RequestPrint;
 }
--- a/crates/model/src/rules/action.rs
+++ b/crates/model/src/rules/action.rs
@@ -1,23 +1,23 @@
-//! What a rule may decide, one type per kind of decision.
+//! The actions of a rule, one type per kind of decision.
 
 use serde::{Deserialize, Serialize};
 
 use super::DecisionKind;
 
-/// The `then` part of a rule; each kind that is present is decided by the rule.
+/// The `then` part of a rule; the rule decides each kind that is present.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RuleAction {
-    /// Whether and how a request is let in.
+    /// Whether and how a request is admitted.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub admit: Option<AdmitAction>,
-    /// Which replica serves it.
+    /// Which replica serves a request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub route: Option<RouteAction>,
-    /// Whether it is tried again.
+    /// Whether a failed attempt is retried.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry: Option<RetryAction>,
-    /// How groups are formed and mended.
+    /// How groups are formed and repaired.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub place: Option<PlaceAction>,
     /// Whether a planned stop is allowed.
@@ -38,34 +38,34 @@
     }
 }
 
-/// Whether a call may be repeated.
+/// Whether a call needs an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyPolicy {
-    /// A key is honoured when the caller sends one.
+    /// The caller may send a key; with one, the call runs at most once.
     #[default]
     Optional,
     /// A call without a key is refused.
     Required,
 }
 
-/// How a request is let in.
+/// How a request is admitted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmitAction {
-    /// Whether the request is let in at all.
+    /// Whether the request is admitted at all.
     pub allow: bool,
-    /// Requests of the team in flight at one time, over all entries; zero for no limit.
+    /// Limit of the team's requests in flight, over all entries; zero for no limit.
     pub concurrency: u32,
-    /// Requests of the team per second, over all entries; zero for no limit.
+    /// Limit of the team's requests per second, over all entries; zero for no limit.
     pub rate: f64,
-    /// Share of the team when requests queue.
+    /// Weight of the team relative to others when requests are queued.
     pub weight: u32,
-    /// Priority; higher goes first.
+    /// Priority; higher values are served first.
     pub priority: u8,
-    /// Requests of the team that may wait at one entry.
+    /// Limit of the team's requests in the queue of one entry.
     pub queue: u32,
-    /// Time a request may take in all, in milliseconds.
+    /// Time limit of a request over all of its attempts, in milliseconds.
     pub deadline_ms: u32,
     /// Whether the call needs an `Idempotency-Key`.
     pub idempotency_key: KeyPolicy,
@@ -90,11 +90,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouteAction {
-    /// Whether replicas of the entry's own zone go first.
+    /// Whether replicas in the entry's own availability zone are preferred.
     pub same_zone_first: bool,
-    /// Whether requests with a common prompt prefix go to the same replica.
+    /// Whether requests with a common prompt prefix are sent to the same replica.
     pub prefix_affinity: bool,
-    /// Load of the preferred replica over the mean, in percent, above which it is passed over.
+    /// Load in percent of the mean above which the preferred replica is skipped; at least 100.
     pub load_bound_percent: u32,
     /// Providers in order of preference; empty for no preference.
     pub providers: Vec<String>,
@@ -111,18 +111,18 @@
     }
 }
 
-/// Whether a request is tried again.
+/// Whether a request is retried.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryAction {
-    /// Attempts in all.
+    /// Most attempts, including the first.
     pub attempts: u32,
-    /// Retries in percent of first attempts.
+    /// Limit of retries, in percent of first attempts.
     pub budget_percent: u32,
-    /// Wait before the first retry, in milliseconds.
+    /// Delay before the first retry, in milliseconds.
     pub backoff_ms: u32,
-    /// Whether the call may run twice; when absent, engine calls may and plain services' calls may
-    /// unless their method changes something.
+    /// Whether the call may run twice; when absent, calls to engines may, and calls to plain
+    /// services may unless their method changes state.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
 }
@@ -133,31 +133,32 @@
     }
 }
 
-/// How groups are formed and mended.
+/// How groups are formed and repaired.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlaceAction {
-    /// Cost of one second of one group being down.
+    /// Cost per second of one group being down.
     pub downtime_weight: f64,
-    /// Cost of one second of one accelerator outside any whole group.
+    /// Cost per second of one accelerator that is in no whole group.
     pub stranded_weight: f64,
-    /// Longest wait for a missing host while a replacement is at hand, in milliseconds.
+    /// Longest wait for a missing host while a replacement is available, in milliseconds.
     pub wait_ms: u64,
-    /// Hosts per service and fabric domain kept free for repairs.
+    /// Hosts per service and fabric domain that are kept free for repairs.
     pub spares: u32,
-    /// Groups beyond the wanted number, formed of hosts that would be idle and ready to stand in.
+    /// Groups beyond the wanted number that are formed of otherwise idle hosts, as standby
+    /// replicas.
     pub standby: u32,
-    /// Whether a group may cross fabric domains when nothing else is left.
+    /// Whether a group may span fabric domains when it cannot be formed otherwise.
     pub cross_domain: bool,
-    /// Share of a group's worth that is lost while it crosses fabric domains, in percent.
+    /// Part of a group's value that is lost while it spans fabric domains, in percent.
     pub cross_domain_loss_percent: u32,
-    /// How long a restarted host usually stays away, in milliseconds.
+    /// Usual time that a restarting host is unavailable, in milliseconds.
     pub restart_ms: u64,
-    /// Share of missing hosts that come back by themselves, in percent.
+    /// Part of missing hosts that return without intervention, in percent.
     pub return_percent: u32,
-    /// How long one host takes to load its weights when it loads alone, in milliseconds.
+    /// Time for one host to load its weights when no other host is loading, in milliseconds.
     pub load_ms: u64,
-    /// Hosts that the weight store serves at full speed at one time; zero for no limit.
+    /// Number of hosts that the weight store serves at full speed at one time; zero for no limit.
     pub parallel_loads: u32,
     /// Providers in order of preference; empty for no preference.
     pub providers: Vec<String>,
@@ -188,9 +189,9 @@
 pub struct StopAction {
     /// Whether the stop is allowed at all.
     pub allow: bool,
-    /// Replicas of the service that must stay up.
+    /// Fewest replicas of the service that must stay up.
     pub min_replicas: u32,
-    /// Whether a replacement must be up first where spare hosts exist.
+    /// Whether a replacement must be up before the stop, where spare hosts exist.
     pub replace_first: bool,
 }
 
--- a/crates/model/src/rules/book.rs
+++ b/crates/model/src/rules/book.rs
@@ -1,4 +1,4 @@
-//! Finding the rule that counts.
+//! The rule book: finds the rule that applies to a decision.
 
 use super::index::RuleIndex;
 use super::{
@@ -10,13 +10,13 @@
 plain_choice! {
     /// Kinds of decision that rules make.
     pub enum DecisionKind {
-        /// Whether and how a request is let in.
+        /// Whether and how a request is admitted.
         Admit,
-        /// Which replica serves it.
+        /// Which replica serves a request.
         Route,
-        /// Whether it is tried again.
+        /// Whether a failed attempt is retried.
         Retry,
-        /// How groups are formed and mended.
+        /// How groups are formed and repaired.
         Place,
         /// Whether a planned stop is allowed.
         Stop,
@@ -24,10 +24,10 @@
 }
 
 impl DecisionKind {
-    /// Every kind.
+    /// All kinds, in declaration order.
     pub const ALL: [Self; 5] = [Self::Admit, Self::Route, Self::Retry, Self::Place, Self::Stop];
 
-    /// The kind as rules name it.
+    /// The name of the kind in rule documents.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Admit => "admit",
@@ -38,26 +38,26 @@
         }
     }
 
-    /// The kind called `text`.
+    /// The kind named `text` in rule documents; `None` when there is none.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == text)
     }
 }
 
-/// What is known when a decision is made; `None` where a fact does not apply.
+/// The input of a decision; a fact that does not apply to it is `None`.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecisionFacts<'a> {
     /// Team of the caller.
     pub team: Option<&'a str>,
-    /// Service concerned.
+    /// Service that the decision concerns.
     pub service: Option<&'a str>,
     /// Model named by the caller.
     pub model: Option<&'a str>,
     /// Request path.
     pub path: Option<&'a str>,
-    /// Availability zone of the deciding process or the host concerned.
+    /// Availability zone of the deciding process, or of the host that the decision concerns.
     pub zone: Option<&'a str>,
-    /// Provider of the host concerned.
+    /// Provider of the host that the decision concerns.
     pub provider: Option<&'a str>,
     /// Whether the answer is a stream.
     pub stream: Option<bool>,
@@ -65,7 +65,7 @@
     pub keyed: Option<bool>,
 }
 
-/// A rule document with its revision, ready to decide.
+/// A rule document with its revision and an index for finding rules.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RuleBook {
     revision: RevisionNumber,
@@ -74,7 +74,7 @@
 }
 
 impl RuleBook {
-    /// Builds a book from the text of a document.
+    /// Builds a rule book from the YAML text of a rule document.
     ///
     /// # Errors
     /// As [`RuleDocument::parse`].
@@ -94,27 +94,28 @@
         &self.document
     }
 
-    /// Admission for `facts`, with the rule that decided; the default when none matches.
+    /// The admission action for `facts`, with the rule that decided; the default action without a
+    /// rule when none matches.
     pub fn admit(&self, facts: &DecisionFacts<'_>) -> (Option<&RuleName>, AdmitAction) {
         self.first(DecisionKind::Admit, facts, |then| then.admit.as_ref())
     }
 
-    /// Choice of replica for `facts`.
+    /// The routing action for `facts`; see [`RuleBook::admit`].
     pub fn route(&self, facts: &DecisionFacts<'_>) -> (Option<&RuleName>, RouteAction) {
         self.first(DecisionKind::Route, facts, |then| then.route.as_ref())
     }
 
-    /// Retries for `facts`.
+    /// The retry action for `facts`; see [`RuleBook::admit`].
     pub fn retry(&self, facts: &DecisionFacts<'_>) -> (Option<&RuleName>, RetryAction) {
         self.first(DecisionKind::Retry, facts, |then| then.retry.as_ref())
     }
 
-    /// Placement for `facts`.
+    /// The placement action for `facts`; see [`RuleBook::admit`].
     pub fn place(&self, facts: &DecisionFacts<'_>) -> (Option<&RuleName>, PlaceAction) {
         self.first(DecisionKind::Place, facts, |then| then.place.as_ref())
     }
 
-    /// Planned stops for `facts`.
+    /// The action on planned stops for `facts`; see [`RuleBook::admit`].
     pub fn stop(&self, facts: &DecisionFacts<'_>) -> (Option<&RuleName>, StopAction) {
         self.first(DecisionKind::Stop, facts, |then| then.stop.as_ref())
     }
@@ -134,7 +135,7 @@
 }
 
 impl RuleCondition {
-    /// Whether every field that is given holds for `facts`, field by field.
+    /// Whether every field that is given matches `facts`.
     pub fn matches(&self, facts: &DecisionFacts<'_>) -> bool {
         any_of(&self.team, facts.team, |name| name.as_str())
             && any_of(&self.service, facts.service, |name| name.as_str())
@@ -160,5 +161,6 @@
 }
 
 fn any_prefix(wanted: &[String], fact: Option<&str>) -> bool {
-    wanted.is_empty() || fact.is_some_and(|fact| wanted.iter().any(|head| fact.starts_with(head)))
+    wanted.is_empty()
+        || fact.is_some_and(|fact| wanted.iter().any(|prefix| fact.starts_with(prefix)))
 }
--- a/crates/model/src/rules/check.rs
+++ b/crates/model/src/rules/check.rs
@@ -1,4 +1,4 @@
-//! Looking for mistakes in a rule document that parses.
+//! Checks of a rule document that go beyond parsing it.
 
 use std::fmt;
 
@@ -12,23 +12,23 @@
 use super::{RuleAction, RuleCondition, ServiceKind};
 use crate::names::RuleName;
 
-/// How bad a finding is.
+/// Severity of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FindingLevel {
-    /// Worth a look; the document can be applied.
+    /// A possible mistake; the document is still accepted.
     Warning,
     /// The document is refused.
     Error,
 }
 
-/// One mistake or doubt.
+/// One error or warning about a rule document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleFinding {
-    /// Line, from one; zero when it concerns the whole document.
+    /// Line, counted from one; zero when the finding concerns the whole document.
     pub line: u64,
-    /// How bad it is.
+    /// Severity.
     pub level: FindingLevel,
-    /// What it is and what to do about it.
+    /// What is wrong and how to correct it.
     pub message: String,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// The document with the line of each part.
+/// A rule document with the line of each item.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct LocatedDocument {
@@ -54,10 +54,10 @@
     rules: Vec<Spanned<RuleEntry>>,
 }
 
-/// Reads `text` and lists what is wrong with it, in line order.
+/// Checks the rule document `text` and returns the findings in line order.
 ///
 /// # Errors
-/// `RuleError::Malformed` when the text is not a rule document at all.
+/// `RuleError::Malformed` when the text does not parse as a rule document.
 pub fn check_rules(text: &str) -> Result<Vec<RuleFinding>, RuleError> {
     let document: LocatedDocument =
         serde_saphyr::from_str(text).map_err(|error| malformed(&error))?;
@@ -68,14 +68,14 @@
     for (position, entry) in document.rules.iter().enumerate() {
         check_values(entry, &mut findings);
         check_references(&document, entry, &mut findings);
-        check_reach(&document.rules[..position], entry, &mut findings);
+        check_reachability(&document.rules[..position], entry, &mut findings);
     }
     check_fallbacks(&document, &mut findings);
     findings.sort_by_key(|finding| finding.line);
     Ok(findings)
 }
 
-/// Refuses a document with an error in it; warnings are let through.
+/// Parses and checks a document; refuses it on errors but accepts warnings.
 ///
 /// # Errors
 /// `RuleError::Malformed` or `RuleError::Refused` with the first error.
@@ -137,7 +137,7 @@
     for (position, part) in document.rules.iter().enumerate() {
         let name = &part.value.rule;
         if document.rules[..position].iter().any(|other| other.value.rule == *name) {
-            let message = format!("rule {name} stands twice; give each rule its own name");
+            let message = format!("rule {name} is declared twice; give each rule its own name");
             report(findings, line_of(part), FindingLevel::Error, message);
         }
     }
@@ -158,28 +158,28 @@
 
 fn value_problems(then: &RuleAction) -> Vec<&'static str> {
     let mut problems = Vec::new();
-    let mut expect = |holds: bool, problem: &'static str| {
+    let mut require = |holds: bool, problem: &'static str| {
         if !holds {
             problems.push(problem);
         }
     };
     if let Some(admit) = &then.admit {
-        expect(admit.rate.is_finite() && admit.rate >= 0.0, "admit.rate must be 0 or more");
-        expect(admit.weight > 0, "admit.weight must be 1 or more");
-        expect(admit.deadline_ms > 0, "admit.deadline_ms must be 1 or more");
+        require(admit.rate.is_finite() && admit.rate >= 0.0, "admit.rate must be 0 or more");
+        require(admit.weight > 0, "admit.weight must be 1 or more");
+        require(admit.deadline_ms > 0, "admit.deadline_ms must be 1 or more");
     }
     if let Some(route) = &then.route {
-        expect(route.load_bound_percent >= 100, "route.load_bound_percent must be 100 or more");
+        require(route.load_bound_percent >= 100, "route.load_bound_percent must be 100 or more");
     }
     if let Some(retry) = &then.retry {
-        expect(retry.attempts > 0, "retry.attempts must be 1 or more; 1 means no retry");
-        expect(retry.budget_percent <= 100, "retry.budget_percent must be 100 or less");
+        require(retry.attempts > 0, "retry.attempts must be 1 or more; 1 means no retry");
+        require(retry.budget_percent <= 100, "retry.budget_percent must be 100 or less");
     }
     if let Some(place) = &then.place {
         let weights = [place.downtime_weight, place.stranded_weight];
-        let hold = weights.iter().all(|weight| weight.is_finite() && *weight >= 0.0);
-        expect(hold, "place weights must be 0 or more");
-        expect(weights.iter().any(|weight| *weight > 0.0), "one place weight must be over 0");
+        let valid = weights.iter().all(|weight| weight.is_finite() && *weight >= 0.0);
+        require(valid, "place weights must be 0 or more");
+        require(weights.iter().any(|weight| *weight > 0.0), "one place weight must be over 0");
     }
     problems
 }
@@ -213,28 +213,28 @@
     }
 }
 
-/// Looks for kinds of decision that the rule can never make.
-fn check_reach(
+/// Reports kinds of decision for which the rule can never apply.
+fn check_reachability(
     earlier: &[Spanned<RuleEntry>],
     part: &Spanned<RuleEntry>,
     findings: &mut Vec<RuleFinding>,
 ) {
     let entry = &part.value;
     for kind in DecisionKind::ALL.into_iter().filter(|kind| entry.then.decides(*kind)) {
-        if let Some(field) = unknown_field(&entry.when, kind) {
+        if let Some(field) = unavailable_field(&entry.when, kind) {
             let message = format!(
-                "rule {}: {} decisions know no {field}, so it never decides them; move them to a \
-                 rule without {field}",
+                "rule {}: {} decisions have no {field}, so it never decides them; move them to \
+                 a rule without {field}",
                 entry.rule,
                 kind.as_str()
             );
             report(findings, line_of(part), FindingLevel::Error, message);
             continue;
         }
-        if let Some(cover) = covering_rule(earlier, &entry.when, kind) {
+        if let Some(covering) = covering_rule(earlier, &entry.when, kind) {
             let message = format!(
-                "rule {} never makes {} decisions: rule {cover} stands before it and matches \
-                 whenever it does; move it up or remove it",
+                "rule {} never makes {} decisions: the earlier rule {covering} matches whenever \
+                 it does; move it up or remove it",
                 entry.rule,
                 kind.as_str()
             );
@@ -251,13 +251,13 @@
     earlier
         .iter()
         .map(|part| &part.value)
-        .filter(|entry| entry.then.decides(kind) && unknown_field(&entry.when, kind).is_none())
+        .filter(|entry| entry.then.decides(kind) && unavailable_field(&entry.when, kind).is_none())
         .find(|entry| covers(&entry.when, when))
         .map(|entry| entry.rule.clone())
 }
 
-/// A field of the condition that decisions of `kind` never know.
-fn unknown_field(when: &RuleCondition, kind: DecisionKind) -> Option<&'static str> {
+/// A field of the condition that is never known in decisions of `kind`.
+fn unavailable_field(when: &RuleCondition, kind: DecisionKind) -> Option<&'static str> {
     let about_requests = [
         ("team", !when.team.is_empty()),
         ("model", !when.model.is_empty()),
@@ -273,24 +273,24 @@
     unknown.iter().find(|(_, used)| *used).map(|(field, _)| *field)
 }
 
-/// Whether `wide` matches whenever `narrow` does.
+/// Whether `wide` matches every decision that `narrow` matches.
 fn covers(wide: &RuleCondition, narrow: &RuleCondition) -> bool {
-    covers_list(&wide.team, &narrow.team)
-        && covers_list(&wide.service, &narrow.service)
-        && covers_list(&wide.model, &narrow.model)
-        && covers_list(&wide.zone, &narrow.zone)
-        && covers_list(&wide.provider, &narrow.provider)
+    covers_names(&wide.team, &narrow.team)
+        && covers_names(&wide.service, &narrow.service)
+        && covers_names(&wide.model, &narrow.model)
+        && covers_names(&wide.zone, &narrow.zone)
+        && covers_names(&wide.provider, &narrow.provider)
         && covers_paths(&wide.path, &narrow.path)
         && (wide.stream.is_none() || wide.stream == narrow.stream)
         && (wide.keyed.is_none() || wide.keyed == narrow.keyed)
 }
 
-fn covers_list<T: PartialEq>(wide: &[T], narrow: &[T]) -> bool {
+fn covers_names<T: PartialEq>(wide: &[T], narrow: &[T]) -> bool {
     wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(|name| wide.contains(name)))
 }
 
 fn covers_paths(wide: &[String], narrow: &[String]) -> bool {
-    let under = |path: &String| wide.iter().any(|head| path.starts_with(head.as_str()));
+    let under = |path: &String| wide.iter().any(|prefix| path.starts_with(prefix.as_str()));
     wide.is_empty() || (!narrow.is_empty() && narrow.iter().all(under))
 }
 
@@ -301,7 +301,7 @@
         });
         if !has_fallback {
             let message = format!(
-                "no rule without a condition decides {}; built-in defaults count where no rule \
+                "no rule without a condition decides {}; built-in defaults apply where no rule \
                  matches",
                 kind.as_str()
             );
--- a/crates/model/src/rules/document.rs
+++ b/crates/model/src/rules/document.rs
@@ -1,4 +1,4 @@
-//! The document as operators write it.
+//! The rule document in the form that operators write.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -9,22 +9,22 @@
 /// Why a rule document was refused.
 #[derive(Debug, Snafu)]
 pub enum RuleError {
-    /// The text is not a rule document.
+    /// The text does not parse as a rule document.
     #[snafu(display("rule document, line {line}, column {column}: {detail}"))]
     Malformed {
-        /// Line, from one.
+        /// Line, counted from one.
         line: u64,
-        /// Column, from one.
+        /// Column, counted from one.
         column: u64,
         /// What is wrong and what is expected.
         detail: String,
     },
-    /// The text is a rule document with a mistake in it.
+    /// The text is a rule document but has an error.
     #[snafu(display("rule document, line {line}: {detail}"))]
     Refused {
-        /// Line, from one.
+        /// Line, counted from one.
         line: u64,
-        /// What is wrong and what to do about it.
+        /// What is wrong and how to correct it.
         detail: String,
     },
 }
@@ -36,16 +36,16 @@
     /// Services that are offered.
     #[serde(default)]
     pub services: Vec<ServiceDeclaration>,
-    /// Teams that may call.
+    /// Teams that may send requests.
     #[serde(default)]
     pub teams: Vec<TeamDeclaration>,
-    /// Rules in order.
+    /// Rules in the order in which they are tried.
     #[serde(default)]
     pub rules: Vec<RuleEntry>,
 }
 
 plain_choice! {
-    /// What stands behind a service.
+    /// Kind of a service.
     #[derive(Default)]
     pub enum ServiceKind {
         /// A model engine.
@@ -56,30 +56,30 @@
     }
 }
 
-/// One service.
+/// Declaration of one service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDeclaration {
     /// Its name.
     pub name: ServiceName,
-    /// What stands behind it.
+    /// Kind of the service.
     #[serde(default)]
     pub kind: ServiceKind,
-    /// Models that callers may name; the service name itself always works.
+    /// Models that callers may request from the service; its own name is always accepted as one.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Hosts in one replica.
+    /// Number of hosts in one replica.
     #[serde(default = "one")]
     pub hosts_per_replica: u32,
-    /// Replicas wanted.
+    /// Wanted number of replicas.
     #[serde(default = "one")]
     pub replicas: u32,
-    /// Attempts in flight per replica.
+    /// Limit of attempts in flight per replica.
     #[serde(default = "default_capacity")]
     pub capacity: u32,
 }
 
-/// One team.
+/// Declaration of one team.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamDeclaration {
@@ -93,18 +93,18 @@
 pub struct RuleEntry {
     /// Its name.
     pub rule: RuleName,
-    /// When it matches; an empty condition always does.
+    /// When it matches; an empty condition always matches.
     #[serde(default)]
     pub when: RuleCondition,
     /// What it decides.
     pub then: RuleAction,
 }
 
-/// When a rule matches: every field that is given must hold.
+/// Condition of a rule: every field that is given must match.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RuleCondition {
-    /// Any of these teams.
+    /// The caller is of any of these teams.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub team: Vec<TeamName>,
     /// Any of these services.
@@ -131,10 +131,10 @@
 }
 
 impl RuleDocument {
-    /// Reads a document from YAML.
+    /// Parses a document from YAML.
     ///
     /// # Errors
-    /// `RuleError::Malformed` with line and column when the text does not fit.
+    /// `RuleError::Malformed` with line and column when the text does not parse.
     pub fn parse(text: &str) -> Result<Self, RuleError> {
         serde_saphyr::from_str(text).map_err(|error| malformed(&error))
     }
@@ -144,7 +144,7 @@
         self.services.iter().find(|service| service.name.as_str() == name)
     }
 
-    /// The service that offers `model`.
+    /// The engine service that offers `model`, as one of its models or as its own name.
     pub fn service_of_model(&self, model: &str) -> Option<&ServiceDeclaration> {
         self.services.iter().find(|service| {
             service.kind == ServiceKind::Engine
@@ -153,12 +153,12 @@
     }
 }
 
-/// The parser's error with its place.
+/// Converts the parser's error, with its location.
 pub(super) fn malformed(error: &serde_saphyr::Error) -> RuleError {
     let location = error.location();
     RuleError::Malformed {
-        line: location.map_or(0, |place| place.line()),
-        column: location.map_or(0, |place| place.column()),
+        line: location.map_or(0, |location| location.line()),
+        column: location.map_or(0, |location| location.column()),
         detail: error.without_snippet().to_string(),
     }
 }
--- a/crates/model/src/rules/explain.rs
+++ b/crates/model/src/rules/explain.rs
@@ -1,4 +1,4 @@
-//! Telling which rule decides and why the earlier ones do not.
+//! Explains which rule decides and why the earlier ones do not.
 
 use std::fmt;
 
@@ -6,20 +6,20 @@
 use super::{RuleCondition, RuleEntry};
 use crate::names::RuleName;
 
-/// What became of one rule when a decision was made.
+/// Why a rule did or did not decide.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RuleVerdict {
     /// The rule decides.
     Decides,
-    /// The rule says nothing about this kind of decision.
+    /// The rule does not decide this kind of decision.
     OtherKind,
-    /// A field of the condition does not hold.
+    /// A field of the condition does not match.
     Differs {
         /// The field.
         field: &'static str,
-        /// What the rule wants.
+        /// Values that the rule requires.
         wanted: String,
-        /// What is the case; `None` when the fact does not apply.
+        /// The actual value; `None` when the fact does not apply.
         fact: Option<String>,
     },
 }
@@ -37,22 +37,22 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Decides => formatter.write_str("decides"),
-            Self::OtherKind => formatter.write_str("says nothing about this kind of decision"),
+            Self::OtherKind => formatter.write_str("does not cover this kind of decision"),
             Self::Differs { field, wanted, fact: Some(fact) } => {
-                write!(formatter, "wants {field} {wanted}, and it is {fact}")
+                write!(formatter, "requires {field} {wanted}, but it is {fact}")
             }
             Self::Differs { field, wanted, fact: None } => {
-                write!(formatter, "wants {field} {wanted}, which is not known here")
+                write!(formatter, "requires {field} {wanted}, which is not known for this decision")
             }
         }
     }
 }
 
 impl RuleBook {
-    /// Every rule up to the one that decides, with its verdict.
+    /// Every rule up to and including the one that decides, with its verdict.
     ///
-    /// The rules are looked at one by one, without the matcher's index; the last step decides,
-    /// or no rule does.
+    /// The rules are tried one by one, without the index. When the verdict of the last step is not
+    /// `Decides`, no rule decides.
     pub fn explain(&self, kind: DecisionKind, facts: &DecisionFacts<'_>) -> Vec<RuleStep> {
         let mut steps = Vec::new();
         for entry in &self.document().rules {
@@ -75,17 +75,19 @@
 }
 
 fn first_difference(when: &RuleCondition, facts: &DecisionFacts<'_>) -> Option<RuleVerdict> {
-    listed("team", &when.team, facts.team, |name| name.as_str())
-        .or_else(|| listed("service", &when.service, facts.service, |name| name.as_str()))
-        .or_else(|| listed("model", &when.model, facts.model, String::as_str))
-        .or_else(|| listed("zone", &when.zone, facts.zone, |name| name.as_str()))
-        .or_else(|| listed("provider", &when.provider, facts.provider, |name| name.as_str()))
+    list_difference("team", &when.team, facts.team, |name| name.as_str())
+        .or_else(|| list_difference("service", &when.service, facts.service, |name| name.as_str()))
+        .or_else(|| list_difference("model", &when.model, facts.model, String::as_str))
+        .or_else(|| list_difference("zone", &when.zone, facts.zone, |name| name.as_str()))
+        .or_else(|| {
+            list_difference("provider", &when.provider, facts.provider, |name| name.as_str())
+        })
         .or_else(|| path_difference(when, facts))
-        .or_else(|| flag("stream", when.stream, facts.stream))
-        .or_else(|| flag("keyed", when.keyed, facts.keyed))
+        .or_else(|| flag_difference("stream", when.stream, facts.stream))
+        .or_else(|| flag_difference("keyed", when.keyed, facts.keyed))
 }
 
-fn listed<T>(
+fn list_difference<T>(
     field: &'static str,
     wanted: &[T],
     fact: Option<&str>,
@@ -109,7 +111,11 @@
     })
 }
 
-fn flag(field: &'static str, wanted: Option<bool>, fact: Option<bool>) -> Option<RuleVerdict> {
+fn flag_difference(
+    field: &'static str,
+    wanted: Option<bool>,
+    fact: Option<bool>,
+) -> Option<RuleVerdict> {
     let differs = wanted.is_some() && wanted != fact;
     differs.then(|| RuleVerdict::Differs {
         field,
--- a/crates/model/src/rules/index.rs
+++ b/crates/model/src/rules/index.rs
@@ -1,7 +1,7 @@
-//! The matcher: rules sorted by kind and service, conditions with sorted names.
+//! The rule index: rules by kind of decision and service, with sorted name lists in conditions.
 //!
-//! A decision looks only at rules that decide its kind and may concern its service, in the order
-//! of the document, so the cost of a decision follows the rules of one service instead of all.
+//! A decision tries only the rules that decide its kind and can match its service, in the order of
+//! the document, so its cost depends on the number of rules for one service instead of all rules.
 
 use crate::SortedTable;
 use crate::names::ServiceName;
@@ -9,7 +9,7 @@
 use super::book::{DecisionFacts, DecisionKind};
 use super::{RuleCondition, RuleDocument, RuleEntry};
 
-/// Where to look for the rule that decides.
+/// Index for finding the rule that decides.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct RuleIndex {
     conditions: Vec<SortedCondition>,
--- a/crates/model/src/rules/mod.rs
+++ b/crates/model/src/rules/mod.rs
@@ -1,6 +1,6 @@
 //! The rule document: services, teams, and an ordered list of when-then rules.
 //!
-//! For each kind of decision the first rule counts whose condition matches and whose `then` names
+//! For each kind of decision, the first rule applies whose condition matches and whose `then` has
 //! that kind. The document is one YAML file that operators keep in version control.
 
 mod action;
--- a/crates/model/src/settings/build.rs
+++ b/crates/model/src/settings/build.rs
@@ -1,4 +1,4 @@
-//! Building settings in a program, step by step from their defaults.
+//! Constructors and builder methods for settings that a program creates itself.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use crate::names::{DomainName, HostName, NodeName, ProviderName, ServiceName, ZoneName};
 
 impl DaemonSettings {
-    /// A process of `cluster` without a role.
+    /// Settings of a process of `cluster` that has no role yet.
     pub fn new(node: &str, zone: &str, cluster: &ClusterSettings) -> Self {
         Self {
             node: NodeName::new(node),
@@ -27,28 +27,28 @@
         }
     }
 
-    /// The same process with spans written to `file`.
+    /// Sets the file that spans are written to.
     #[must_use]
     pub fn trace_file(mut self, file: Option<&Path>) -> Self {
         self.trace.file = file.map(Path::to_owned);
         self
     }
 
-    /// The same process before callers.
+    /// Adds the entry role.
     #[must_use]
     pub fn entry(mut self, entry: EntrySettings) -> Self {
         self.entry = Some(entry);
         self
     }
 
-    /// The same process with control state.
+    /// Adds the control role.
     #[must_use]
     pub fn control(mut self, control: ControlSettings) -> Self {
         self.control = Some(control);
         self
     }
 
-    /// The same process beside an endpoint.
+    /// Adds the agent role.
     #[must_use]
     pub fn agent(mut self, agent: AgentSettings) -> Self {
         self.agent = Some(agent);
@@ -57,7 +57,7 @@
 }
 
 impl EntrySettings {
-    /// An entry that listens on `listen`.
+    /// An entry that accepts callers on `listen`.
     pub fn new(listen: SocketAddr) -> Self {
         Self {
             listen,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sets what happens when the rules lease has run out.
+    /// Sets what the entry does when its rules lease has expired.
     #[must_use]
     pub fn unconfirmed(mut self, policy: UnconfirmedPolicy) -> Self {
         self.when_rules_unconfirmed = policy;
@@ -76,7 +76,8 @@
 }
 
 impl ControlSettings {
-    /// A control host with its ports and its folder.
+    /// A control host that listens on `link` for processes and on `operator` for operators, and
+    /// stores its state in `data_folder`.
     pub fn new(link: SocketAddr, operator: SocketAddr, data_folder: &Path) -> Self {
         Self {
             link,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Sets the rules that a new deployment starts with.
+    /// Sets the file with the rules that a new deployment starts with.
     #[must_use]
     pub fn first_rules(mut self, file: &Path) -> Self {
         self.first_rules = Some(file.to_owned());
@@ -104,7 +105,7 @@
 }
 
 impl AgentSettings {
-    /// An agent on `host` that listens on `link`, beside `endpoint`.
+    /// An agent on `host` that listens on `link` and serves `endpoint`.
     pub fn new(link: SocketAddr, host: &str, endpoint: EndpointSettings) -> Self {
         Self {
             link,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Sets where others reach the agent.
+    /// Sets the address at which other processes reach the agent.
     #[must_use]
     pub fn announce(mut self, address: SocketAddr) -> Self {
         self.announce = Some(address);
--- a/crates/model/src/settings/rules.rs
+++ b/crates/model/src/settings/constraints.rs
@@ -1,16 +1,16 @@
-//! What values must hold beside their type, each alone and together.
+//! Constraints on settings that their types do not express, on single values and on combinations.
 
 use super::DaemonSettings;
 use super::lines::SettingsLines;
 use super::problem::SettingsProblem;
 
-/// Shortest secret between processes.
-const MIN_TOKEN: usize = 8;
+/// Shortest allowed shared secret, in bytes.
+const MIN_TOKEN_BYTES: usize = 8;
 
-/// Levels that logs know.
+/// Valid log levels.
 const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Every value that does not fit the others.
+/// Returns every violated constraint.
 pub(super) fn find_conflicts(
     settings: &DaemonSettings,
     lines: &SettingsLines,
@@ -30,7 +30,7 @@
 }
 
 impl ConflictList<'_> {
-    /// Adds a problem with `key` unless `holds`.
+    /// Adds a problem at `key` unless `holds`.
     fn require(&mut self, holds: bool, key: &str, detail: &str, remedy: &str) {
         if holds {
             return;
@@ -50,7 +50,7 @@
         settings.entry.is_some() || settings.control.is_some() || settings.agent.is_some();
     list.require(has_role, "entry", "no role", "name at least one of entry, control, agent");
     let named = !settings.node.as_str().is_empty();
-    list.require(named, "node", "the name is empty", "give the process a name of its own");
+    list.require(named, "node", "the name is empty", "give the process a unique name");
     let zoned = !settings.zone.as_str().is_empty();
     list.require(zoned, "zone", "the name is empty", "name the availability zone it runs in");
     list.require(
@@ -70,7 +70,7 @@
         "list the control hosts, three or five",
     );
     list.require(
-        settings.cluster.token.len() >= MIN_TOKEN,
+        settings.cluster.token.len() >= MIN_TOKEN_BYTES,
         "cluster.token",
         "the secret is too short",
         "use a secret of 8 or more characters",
@@ -81,7 +81,7 @@
     names.dedup();
     links.sort_unstable();
     links.dedup();
-    // One host listed twice would count as two votes of a majority.
+    // A host that is listed twice would count as two votes of a majority.
     list.require(
         names.len() == peers.len() && links.len() == peers.len(),
         "cluster.control",
@@ -95,24 +95,24 @@
     list.require(
         entry.max_open_requests > 0,
         "entry.max_open_requests",
-        "no request could be taken",
+        "no request could be accepted",
         "allow at least one",
     );
     list.require(
         entry.max_body_bytes > 0,
         "entry.max_body_bytes",
-        "no body could be taken",
+        "no request body could be accepted",
         "allow some bytes, such as 1048576",
     );
 }
 
 fn check_control(settings: &DaemonSettings, list: &mut ConflictList<'_>) {
     let Some(control) = &settings.control else { return };
-    // Whoever reaches the operators' port without a token can change every rule.
+    // Without a token, anyone who can reach the operators' port can change every rule.
     list.require(
         control.operator.ip().is_loopback() || control.operator_token.is_some(),
         "control.operator_token",
-        "the operators' port is open to others without a token",
+        "the operators' port is reachable from other hosts without a token",
         "set a token, or let the operators' port listen on loopback",
     );
     let own = settings.cluster.control.iter().any(|peer| peer.node == settings.node);
@@ -120,7 +120,7 @@
         own,
         "cluster.control",
         "this node is not among the control hosts",
-        "list it there, or leave the control role out",
+        "add it to the list, or remove the control role",
     );
 }
 
@@ -138,7 +138,7 @@
     list.require(
         !agent.link.ip().is_unspecified() || agent.announce.is_some(),
         "agent.link",
-        "others cannot reach an unspecified address",
-        "set agent.announce to the address under which others reach this host",
+        "other processes cannot reach an unspecified address",
+        "set agent.announce to the address at which other processes reach this host",
     );
 }
--- a/crates/model/src/settings/lines.rs
+++ b/crates/model/src/settings/lines.rs
@@ -1,5 +1,6 @@
-//! The settings file as lines: where a key stands, and mending a line so that the parser, which
-//! stops at its first problem, can be asked for the next one.
+//! The settings file as lines: finds the line of a key and the key at a position, and removes or
+//! replaces faulty parts. The parser stops at its first error, so the next one is found by parsing
+//! the corrected text.
 
 /// The lines of one file.
 #[derive(Debug, Clone)]
@@ -16,21 +17,22 @@
         self.lines.join("\n")
     }
 
-    /// The key at `line` and `column`, both from one, with the keys it stands under.
+    /// The dotted path of the key at `line` and `column`, both counted from one; empty when there
+    /// is none.
     pub(super) fn key_at(&self, line: u64, column: u64) -> String {
         let Some(index) = index_of(line) else { return String::new() };
         let Some(text) = self.lines.get(index) else { return String::new() };
-        let Some((mut indent, key)) = entry_before(text, index_of(column).unwrap_or(0)) else {
+        let Some((mut indent, key)) = key_before(text, index_of(column).unwrap_or(0)) else {
             return String::new();
         };
         let mut keys = vec![key];
         if indent < indent_of(text) || !text[..indent.min(text.len())].trim().is_empty() {
             indent = indent_of(text);
-            let own = entry_before(text, 0).map(|(_, key)| key);
+            let own = key_before(text, 0).map(|(_, key)| key);
             keys.extend(own.filter(|own| *own != keys[0]));
         }
         for above in self.lines[..index].iter().rev() {
-            let Some((outer, key)) = entry_before(above, 0) else { continue };
+            let Some((outer, key)) = key_before(above, 0) else { continue };
             if outer < indent {
                 indent = outer;
                 keys.push(key);
@@ -40,7 +42,7 @@
         keys.join(".")
     }
 
-    /// The line of `key`, or of the nearest key it stands under; zero when there is none.
+    /// The line of the key with path `key`, or of its nearest parent key; zero when there is none.
     pub(super) fn line_of(&self, key: &str) -> u64 {
         let mut wanted = key;
         loop {
@@ -53,9 +55,9 @@
         }
     }
 
-    /// Takes the entry at `line` out with all that stands under it; `false` when that would break
-    /// the list item it begins.
-    pub(super) fn remove_entry(&mut self, line: u64, column: u64) -> bool {
+    /// Clears the key at `line` and everything nested under it; `false` when the key does not start
+    /// the line or starts a list item, which would break the structure.
+    pub(super) fn remove_key(&mut self, line: u64, column: u64) -> bool {
         let Some(index) = index_of(line).filter(|index| *index < self.lines.len()) else {
             return false;
         };
@@ -73,8 +75,8 @@
         true
     }
 
-    /// Puts `value` in place of the one at `line` and `column`; `false` when a key stands there,
-    /// with whose value nothing sound could be put.
+    /// Replaces the value at `line` and `column` by `value`; `false` when there is a key at that
+    /// position, since the key's own value would remain.
     pub(super) fn replace_value(&mut self, line: u64, column: u64, value: &str) -> bool {
         let Some(text) = index_of(line).and_then(|index| self.lines.get_mut(index)) else {
             return false;
@@ -84,7 +86,7 @@
         };
         let tail = &text[start..];
         let end = tail.find([',', '}', ']', '#']).unwrap_or(tail.len());
-        if entry_before(&tail[..end], 0).is_some() {
+        if key_before(&tail[..end], 0).is_some() {
             return false;
         }
         text.replace_range(start..start + end, value);
@@ -100,21 +102,21 @@
     line.len() - line.trim_start().len()
 }
 
-/// The last key of `line` that begins at `column` or before, and where it begins; the first key
-/// when none does.
-fn entry_before(line: &str, column: usize) -> Option<(usize, String)> {
+/// The last key of `line` that starts at or before `column`, with its start; the first key when
+/// none does.
+fn key_before(line: &str, column: usize) -> Option<(usize, String)> {
     let content = line.split(" #").next().unwrap_or_default();
     let mut found = None;
     let mut start = 0;
-    for piece in content.split_inclusive(['{', ',', ' ']) {
-        let word = piece.trim_end_matches(['{', ',', ' ']);
+    for token in content.split_inclusive(['{', ',', ' ']) {
+        let word = token.trim_end_matches(['{', ',', ' ']);
         if let Some(key) = word.strip_suffix(':').filter(|key| !key.is_empty()) {
             if found.is_some() && start > column {
                 break;
             }
             found = Some((start, key.to_owned()));
         }
-        start += piece.len();
+        start += token.len();
     }
     found.filter(|_| !content.trim_start().starts_with('#'))
 }
--- a/crates/model/src/settings/load.rs
+++ b/crates/model/src/settings/load.rs
@@ -1,18 +1,18 @@
-//! Reading settings and refusing what does not fit.
+//! Reading and checking settings.
 
 use std::path::{Path, PathBuf};
 
 use snafu::{ResultExt, Snafu};
 
 use super::DaemonSettings;
+use super::constraints::find_conflicts;
 use super::lines::SettingsLines;
 use super::problem::{SettingsProblem, remedy_for};
-use super::rules::find_conflicts;
 
-/// Problems of one file that are told at one time.
-const MAX_PROBLEMS: usize = 20;
+/// Parsing of one file stops after this many problems.
+const MAX_PARSE_PROBLEMS: usize = 20;
 
-/// Why settings were refused.
+/// Why settings could not be loaded.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -20,15 +20,15 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// Keys are unknown, values do not fit, or they do not fit together.
+    /// The file has unknown keys, invalid values or values that conflict.
     #[snafu(display("{}", describe(path, problems)))]
     Refused {
         /// The file.
         path: PathBuf,
-        /// What is wrong, in the order in which it was found.
+        /// The problems, in the order in which they were found.
         problems: Vec<SettingsProblem>,
     },
 }
@@ -42,16 +42,17 @@
 /// Loads and checks the settings in `path`.
 ///
 /// # Errors
-/// A `SettingsError` that names file, place and remedy of every problem found.
+/// `SettingsError::Unreadable` when the file cannot be read, otherwise `SettingsError::Refused`
+/// with location and remedy of each problem found.
 pub fn load(path: &Path) -> Result<DaemonSettings, SettingsError> {
     let text = std::fs::read_to_string(path).context(UnreadableSnafu { path })?;
     parse(path, &text)
 }
 
-/// Reads and checks settings from `text`; `path` is only named in errors.
+/// Parses and checks settings from `text`; `path` is used only in error messages.
 ///
 /// # Errors
-/// A `SettingsError` that names file, place and remedy of every problem found.
+/// `SettingsError::Refused` with location and remedy of each problem found.
 pub fn parse(path: &Path, text: &str) -> Result<DaemonSettings, SettingsError> {
     let mut lines = SettingsLines::new(text);
     let mut problems = Vec::new();
@@ -66,9 +67,9 @@
             }
             Err(error) => {
                 let problem = describe_error(&error, &lines);
-                let mended = mend(&mut lines, &problem);
+                let patched = patch_problem(&mut lines, &problem);
                 problems.push(problem);
-                if !mended || problems.len() >= MAX_PROBLEMS {
+                if !patched || problems.len() >= MAX_PARSE_PROBLEMS {
                     break;
                 }
             }
@@ -78,8 +79,8 @@
 }
 
 fn describe_error(error: &serde_saphyr::Error, lines: &SettingsLines) -> SettingsProblem {
-    let place = error.location();
-    let (line, column) = place.map_or((0, 0), |place| (place.line(), place.column()));
+    let location = error.location();
+    let (line, column) = location.map_or((0, 0), |location| (location.line(), location.column()));
     let text = error.without_snippet().to_string();
     let detail = text.split(" at line ").next().unwrap_or_default().to_owned();
     let remedy = remedy_for(&detail);
@@ -91,13 +92,14 @@
     SettingsProblem { line, column, key, detail, remedy }
 }
 
-/// Makes the text parse beyond `problem`; `false` when that would only invent further problems.
-fn mend(lines: &mut SettingsLines, problem: &SettingsProblem) -> bool {
+/// Corrects the text at `problem` so that parsing gets past it; `false` when no correction is known
+/// that would not cause problems of its own.
+fn patch_problem(lines: &mut SettingsLines, problem: &SettingsProblem) -> bool {
     let (line, column, detail) = (problem.line, problem.column, problem.detail.as_str());
     if detail.starts_with("unknown field") {
-        return lines.remove_entry(line, column);
+        return lines.remove_key(line, column);
     }
-    let stand_in = if detail.contains("socket address") {
+    let placeholder = if detail.contains("socket address") {
         "127.0.0.1:1"
     } else if detail.starts_with("invalid u") {
         "1"
@@ -108,5 +110,5 @@
     } else {
         return false;
     };
-    lines.replace_value(line, column, stand_in)
+    lines.replace_value(line, column, placeholder)
 }
--- a/crates/model/src/settings/mod.rs
+++ b/crates/model/src/settings/mod.rs
@@ -1,10 +1,10 @@
 //! Settings of one process, read from a YAML file.
 
 mod build;
+mod constraints;
 mod lines;
 mod load;
 mod problem;
-mod rules;
 mod types;
 
 pub use load::{SettingsError, load, parse};
--- a/crates/model/src/settings/problem.rs
+++ b/crates/model/src/settings/problem.rs
@@ -1,15 +1,15 @@
-//! What is wrong in a settings file, with its place and remedy.
+//! Problems in a settings file, with their location and remedy.
 
 use std::fmt::{Display, Formatter, Result};
 
-/// One problem.
+/// One problem in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// Line, from one; zero when it concerns the whole file.
+    /// Line, counted from one; zero when the problem concerns the whole file.
     pub line: u64,
-    /// Column, from one; zero when it concerns the whole line.
+    /// Column, counted from one; zero when the problem concerns the whole line.
     pub column: u64,
-    /// Key with the ones it stands under, such as `entry.listen`; empty when none is concerned.
+    /// Dotted path of the key, such as `entry.listen`; empty when the problem concerns no key.
     pub key: String,
     /// What is wrong.
     pub detail: String,
@@ -30,7 +30,7 @@
     }
 }
 
-/// The remedy for what the parser said.
+/// The remedy for the parser's error message `detail`.
 pub(super) fn remedy_for(detail: &str) -> String {
     if detail.starts_with("unknown field") {
         return match nearest_name(detail) {
@@ -41,9 +41,9 @@
     let remedy = if detail.starts_with("missing field") {
         "add the key"
     } else if detail.starts_with("unknown variant") {
-        "use one of the expected words"
+        "use one of the expected values"
     } else if detail.contains("socket address") {
-        "write an IP number and a port, such as 10.0.0.5:7000"
+        "write an IP address and a port, such as 10.0.0.5:7000"
     } else if detail.starts_with("invalid u") {
         "write a whole number that is not negative and not too large"
     } else if detail.contains("bool") {
@@ -51,23 +51,24 @@
     } else if detail.starts_with("duplicate") {
         "keep one of the two keys"
     } else {
-        "see docs/guide/settings.md for what may stand here"
+        "see docs/guide/settings.md for the allowed values"
     };
     remedy.to_owned()
 }
 
-/// The expected name that is most like the unknown one, if any is.
+/// The expected name closest to the unknown one, if one is close enough.
 fn nearest_name(detail: &str) -> Option<&str> {
-    /// Names further apart than this are not taken for a slip of the pen.
-    const MOST_EDITS: usize = 2;
+    /// Names that differ by more edits than this are not suggested as a correction.
+    const MAX_EDITS: usize = 2;
     let unknown = detail.split('`').nth(1)?;
     let (_, expected) = detail.split_once("expected one of ").or(detail.split_once("expected "))?;
     let names = expected.split(", ").map(|name| name.trim().trim_matches('`'));
     let rated = names.map(|name| (edit_distance(unknown, name), name));
-    rated.filter(|(edits, _)| *edits <= MOST_EDITS).min().map(|(_, name)| name)
+    rated.filter(|(edits, _)| *edits <= MAX_EDITS).min().map(|(_, name)| name)
 }
 
-/// How many letters must be changed, added or removed to make `left` into `right`.
+/// Levenshtein distance: the number of characters to change, add or remove to turn `left` into
+/// `right`.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/model/src/settings/types.rs
+++ b/crates/model/src/settings/types.rs
@@ -1,4 +1,4 @@
-//! The settings themselves, with their defaults.
+//! Types of the settings, with their defaults.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,37 +12,37 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// Name of the process, unique in the deployment.
+    /// Name of the process; unique in the deployment.
     pub node: NodeName,
     /// Availability zone it runs in.
     pub zone: ZoneName,
     /// The deployment it belongs to.
     pub cluster: ClusterSettings,
-    /// Logs.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
-    /// Traces.
+    /// Trace settings.
     #[serde(default)]
     pub trace: TraceSettings,
-    /// What happens when the process is told to end.
+    /// Settings for stopping the process.
     #[serde(default)]
     pub stop: StopSettings,
-    /// Present when the process stands before callers.
+    /// Settings of the entry role; absent when the process does not serve callers.
     #[serde(default)]
     pub entry: Option<EntrySettings>,
-    /// Present when the process keeps control state.
+    /// Settings of the control role; absent when the process does not keep control state.
     #[serde(default)]
     pub control: Option<ControlSettings>,
-    /// Present when the process stands beside an endpoint.
+    /// Settings of the agent role; absent when the process does not serve an endpoint.
     #[serde(default)]
     pub agent: Option<AgentSettings>,
 }
 
-/// What all processes of a deployment share.
+/// Settings shared by all processes of a deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterSettings {
-    /// Secret that processes show each other.
+    /// Shared secret that processes use to authenticate to each other.
     pub token: String,
     /// The control hosts.
     pub control: Vec<ControlPeer>,
@@ -54,7 +54,7 @@
 pub struct ControlPeer {
     /// Its node name.
     pub node: NodeName,
-    /// Where it listens for other processes.
+    /// Address at which it listens for other processes.
     pub link: SocketAddr,
 }
 
@@ -80,14 +80,14 @@
     pub file: Option<PathBuf>,
 }
 
-/// What happens when a process is told to end by SIGTERM.
+/// How a process stops after SIGTERM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StopSettings {
-    /// Time between saying that the process is not ready and taking no more requests, in
-    /// milliseconds; longer than the balancer's check interval.
+    /// Time from reporting the process as not ready until it accepts no more requests, in
+    /// milliseconds; must be longer than the load balancer's check interval.
     pub notice_ms: u32,
-    /// Longest time that work in progress may take to end, in milliseconds.
+    /// Longest wait for work in progress to end, in milliseconds.
     pub wait_ms: u32,
 }
 
@@ -97,14 +97,14 @@
     }
 }
 
-/// What an entry does when its rules lease has run out.
+/// What an entry does when its rules lease has expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnconfirmedPolicy {
-    /// Take no new work.
+    /// Accept no new requests.
     #[default]
     Refuse,
-    /// Go on under the last confirmed rules.
+    /// Keep applying the last confirmed rules.
     Serve,
 }
 
@@ -112,15 +112,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub listen: SocketAddr,
-    /// Requests open at one time.
+    /// Most requests open at one time.
     #[serde(default = "default_open_requests")]
     pub max_open_requests: u32,
     /// Largest request body, in bytes.
     #[serde(default = "default_body_bytes")]
     pub max_body_bytes: usize,
-    /// What to do when the rules lease has run out.
+    /// What to do when the rules lease has expired.
     #[serde(default)]
     pub when_rules_unconfirmed: UnconfirmedPolicy,
 }
@@ -129,16 +129,16 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Where other processes of the system connect.
+    /// Address at which other processes connect.
     pub link: SocketAddr,
-    /// Where operators connect.
+    /// Address at which operators connect.
     pub operator: SocketAddr,
-    /// Bearer token of operators; needed off loopback.
+    /// Bearer token of operators; required unless `operator` is a loopback address.
     #[serde(default)]
     pub operator_token: Option<String>,
     /// Folder for durable state.
     pub data_folder: PathBuf,
-    /// Rule document adopted when the data folder is new.
+    /// File with the rule document to adopt when the data folder is new.
     #[serde(default)]
     pub first_rules: Option<PathBuf>,
     /// What entries that register from now on do when their rules cannot be confirmed.
@@ -150,9 +150,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Where entries and other agents connect.
+    /// Address at which entries and other agents connect.
     pub link: SocketAddr,
-    /// Where others reach `link`, when that is another address.
+    /// Address at which other processes reach the agent, if different from `link`.
     #[serde(default)]
     pub announce: Option<SocketAddr>,
     /// Host it runs on.
@@ -161,14 +161,14 @@
     pub domain: DomainName,
     /// Provider of the host.
     pub provider: ProviderName,
-    /// Accelerators on the host.
+    /// Number of accelerators on the host.
     #[serde(default)]
     pub accelerators: u32,
-    /// The endpoint beside it.
+    /// The endpoint that the agent serves.
     pub endpoint: EndpointSettings,
 }
 
-/// What kind of endpoint an agent stands beside.
+/// Kind of the endpoint that an agent serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
@@ -179,15 +179,15 @@
     Plain,
 }
 
-/// The endpoint beside an agent.
+/// Settings of the endpoint that an agent serves.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSettings {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Service it belongs to.
     pub service: ServiceName,
-    /// What kind it is.
+    /// Kind of the endpoint.
     #[serde(default)]
     pub kind: EndpointKind,
     /// Whether it refuses orders with an old fencing number.
--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -1,4 +1,4 @@
-//! A map kept as a sorted vector, the collection of the house style.
+//! A map stored as a sorted vector.
 
 use serde::{Deserialize, Serialize};
 
@@ -25,18 +25,18 @@
         self.position(key).ok().map(|index| &self.entries[index].1)
     }
 
-    /// The value whose key `compare` finds equal; `compare` must follow the key order.
+    /// The value whose key `compare` finds equal; `compare` must be consistent with the key order.
     pub fn find(&self, mut compare: impl FnMut(&K) -> std::cmp::Ordering) -> Option<&V> {
         let found = self.entries.binary_search_by(|(key, _)| compare(key));
         found.ok().map(|index| &self.entries[index].1)
     }
 
-    /// The value under `key`, to change.
+    /// The value under `key`, for modification.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.position(key).ok().map(|index| &mut self.entries[index].1)
     }
 
-    /// The value under `key`, made by `make` when missing.
+    /// The value under `key`; inserts the result of `make` when there is none.
     pub fn get_or_insert_with(&mut self, key: K, make: impl FnOnce() -> V) -> &mut V {
         let index = match self.position(&key) {
             Ok(index) => index,
@@ -48,7 +48,7 @@
         &mut self.entries[index].1
     }
 
-    /// Stores `value` under `key`; returns the value it replaces.
+    /// Stores `value` under `key` and returns the value that was replaced.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.position(&key) {
             Ok(index) => Some(std::mem::replace(&mut self.entries[index].1, value)),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the value under `key` out.
+    /// Removes the value under `key` and returns it.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         self.position(key).ok().map(|index| self.entries.remove(index).1)
     }
@@ -69,12 +69,12 @@
         self.position(key).is_ok()
     }
 
-    /// How many pairs there are.
+    /// Number of pairs.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no pair.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -84,7 +84,7 @@
         self.entries.iter().map(|(key, value)| (key, value))
     }
 
-    /// The pairs in key order, values to change.
+    /// The pairs in key order, with mutable values.
     pub fn iter_mut(&mut self) -> impl DoubleEndedIterator<Item = (&K, &mut V)> {
         self.entries.iter_mut().map(|(key, value)| (&*key, value))
     }
@@ -99,17 +99,17 @@
         self.entries.iter().map(|(_, value)| value)
     }
 
-    /// The values in key order, to change.
+    /// The values in key order, for modification.
     pub fn values_mut(&mut self) -> impl DoubleEndedIterator<Item = &mut V> {
         self.entries.iter_mut().map(|(_, value)| value)
     }
 
-    /// Keeps the pairs for which `keep` holds.
+    /// Keeps only the pairs for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         self.entries.retain_mut(|(key, value)| keep(key, value));
     }
 
-    /// Drops every pair.
+    /// Removes every pair.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,16 +1,16 @@
-//! Monotonic time as a plain number, so that decisions can be stepped and replayed.
+//! Monotonic time as a plain number, so that tests can set the time and replay decisions.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds on the local monotonic clock of one process; never compared between hosts.
+/// Microseconds on the monotonic clock of one process; not comparable between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimePoint(pub u64);
 
 impl TimePoint {
-    /// The point `span` after this one.
+    /// The point `span` after this one; saturates at the largest value.
     pub fn after(self, span: Duration) -> Self {
         let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
--- a/crates/model/tests/decoders.rs
+++ b/crates/model/tests/decoders.rs
@@ -1,7 +1,7 @@
-//! Every decoder against bytes that no peer of ours would send.
+//! Fuzzes the decoders with random and damaged input.
 //!
-//! A decoder must answer with an error, never with a panic or with memory that the bytes do not
-//! account for.
+//! A decoder must return an error; it must not panic or allocate more memory than the input
+//! justifies.
 
 use std::net::SocketAddr;
 
@@ -34,14 +34,14 @@
     TestRunner::new_with_rng(config, random)
 }
 
-/// Feeds random bytes, and damaged encodings of `sample`, to the decoder of its type.
-fn feed<T: Serialize + DeserializeOwned>(sample: &T) {
+/// Runs the decoder of `T` on random bytes and on damaged encodings of `sample`.
+fn fuzz_decoder<T: Serialize + DeserializeOwned>(sample: &T) {
     let valid = encode(sample).expect("the sample encodes");
     let damage = vec((any::<prop::sample::Index>(), any::<u8>()), 1..4);
     let input = (vec(any::<u8>(), 0..300), damage, any::<prop::sample::Index>());
     runner()
-        .run(&input, |(noise, damage, cut)| {
-            let _ = decode::<T>(&noise);
+        .run(&input, |(random_bytes, damage, cut)| {
+            let _ = decode::<T>(&random_bytes);
             let mut damaged = valid.clone();
             for (position, byte) in damage {
                 let position = position.index(damaged.len());
@@ -117,31 +117,31 @@
 
 #[test]
 fn dispatch_messages_survive_any_bytes() {
-    feed(&EntryRequest::Dispatch(order()));
-    feed(&AgentReply::Refused {
+    fuzz_decoder(&EntryRequest::Dispatch(order()));
+    fuzz_decoder(&AgentReply::Refused {
         attempt: AttemptId(7),
         reason: RefusalReason::QueueFull,
         load: LoadReport::default(),
     });
-    feed(&AgentReply::Chunk { attempt: AttemptId(7), sequence: 3, data: vec![1, 2, 3] });
+    fuzz_decoder(&AgentReply::Chunk { attempt: AttemptId(7), sequence: 3, data: vec![1, 2, 3] });
 }
 
 #[test]
 fn fleet_messages_survive_any_bytes() {
-    feed(&ControlDirective::Assign(assignment()));
-    feed(&AgentReport::Drained { host: "host-1".into(), fencing: FencingNumber(2) });
-    feed(&MemberRequest::Lease {
+    fuzz_decoder(&ControlDirective::Assign(assignment()));
+    fuzz_decoder(&AgentReport::Drained { host: "host-1".into(), fencing: FencingNumber(2) });
+    fuzz_decoder(&MemberRequest::Lease {
         group: GroupId(1),
         fencing: FencingNumber(2),
         nonce: LeaseNonce(3),
     });
-    feed(&MemberReply::Refused { nonce: LeaseNonce(3), fencing: FencingNumber(2) });
+    fuzz_decoder(&MemberReply::Refused { nonce: LeaseNonce(3), fencing: FencingNumber(2) });
 }
 
 #[test]
 fn watch_and_ledger_messages_survive_any_bytes() {
     let key = ClaimKey { team: "traders".into(), key: "lot-7".to_owned() };
-    feed(&WatchRequest {
+    fuzz_decoder(&WatchRequest {
         node: "entry-1".into(),
         nonce: LeaseNonce(1),
         adopted: 2,
@@ -169,7 +169,7 @@
             },
         }],
     });
-    feed(&WatchReply {
+    fuzz_decoder(&WatchReply {
         nonce: LeaseNonce(1),
         terms: LeaseTerms::with_hold(HoldPolicy::UntilForgotten),
         snapshot: Some(SnapshotUpdate::Whole(snapshot())),
@@ -181,15 +181,15 @@
         }],
         prints: Some(PrintView { quarantined: vec![RequestPrint(7)], ..PrintView::default() }),
     });
-    feed(&LedgerRequest::Claim { key, digest: [7; 32], attempt: AttemptId(7) });
-    feed(&LedgerReply::Pending { attempt: AttemptId(7) });
-    feed(&LedgerAnswer { number: 3, reply: LedgerReply::Claimed });
+    fuzz_decoder(&LedgerRequest::Claim { key, digest: [7; 32], attempt: AttemptId(7) });
+    fuzz_decoder(&LedgerReply::Pending { attempt: AttemptId(7) });
+    fuzz_decoder(&LedgerAnswer { number: 3, reply: LedgerReply::Claimed });
 }
 
 #[test]
-fn length_far_over_the_bytes_costs_no_memory() {
-    // The first bytes announce a text of four thousand million bytes that never comes. Trusting
-    // the announcement would exhaust the memory of the process.
+fn oversized_length_prefix_allocates_no_memory() {
+    // The length prefix claims a string of four thousand million bytes, which do not follow.
+    // Allocating that much up front would exhaust the memory of the process.
     let bytes = [252, 255, 255, 255, 255, 1, 2, 3];
 
     let refused = decode::<String>(&bytes);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn bytes_behind_a_message_are_refused() {
+fn trailing_bytes_are_refused() {
     let mut bytes = encode(&LedgerReply::Claimed).expect("the sample encodes");
     bytes.push(0);
 
--- a/crates/model/tests/rule_check.rs
+++ b/crates/model/tests/rule_check.rs
@@ -1,4 +1,4 @@
-//! Mistakes in rule documents are named with their line.
+//! Errors in rule documents are reported with their line.
 
 use briartray_model::rules::{FindingLevel, check_rules};
 
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn rule_behind_a_wider_one_is_unreachable() {
-    // An operator adds a special case below the general rule. It would never count, and the team
-    // it was meant for would keep its old limit.
+fn rule_after_a_more_general_one_is_unreachable() {
+    // An operator adds a special case after the general rule. It would never apply, and the team
+    // it is for would keep its old limit.
     let text = r"
 teams: [{ name: traders }]
 rules:
@@ -37,11 +37,11 @@
 
     assert_eq!(found.len(), 1, "{found:?}");
     assert_eq!(found[0].0, 6);
-    assert!(found[0].1.contains("rule everyone stands before it"), "{found:?}");
+    assert!(found[0].1.contains("the earlier rule everyone matches whenever it does"), "{found:?}");
 }
 
 #[test]
-fn rule_that_decides_another_kind_does_not_cover() {
+fn rule_of_another_kind_does_not_shadow() {
     let text = r"
 teams: [{ name: traders }]
 rules:
@@ -57,7 +57,8 @@
 
 #[test]
 fn placement_by_team_never_decides() {
-    // Hosts have no team. A placement rule that asks for one would be passed over in silence.
+    // Placement decisions have no team, so a placement rule that requires one would be skipped
+    // without notice.
     let text = r"
 teams: [{ name: traders }]
 rules:
@@ -69,7 +70,7 @@
     let found = errors(text);
 
     assert_eq!(found.len(), 1, "{found:?}");
-    assert!(found[0].1.contains("know no team"), "{found:?}");
+    assert!(found[0].1.contains("have no team"), "{found:?}");
 }
 
 #[test]
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn names_that_stand_twice_are_errors() {
+fn duplicate_names_are_errors() {
     let text = r"
 services: [{ name: desk, models: [m] }, { name: desk, models: [m] }]
 teams: [{ name: x }, { name: x }]
--- a/crates/model/tests/rule_matcher.rs
+++ b/crates/model/tests/rule_matcher.rs
@@ -1,4 +1,4 @@
-//! The matcher against a naive one that looks at every rule in order.
+//! Compares the rule index with a linear search over the rules.
 
 use briartray_model::names::{RevisionNumber, RuleName};
 use briartray_model::rules::{
@@ -12,7 +12,7 @@
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 const PATHS: [&str; 4] = ["/", "/v1", "/v1/completions", "/services/ledger"];
 
-/// Facts that can be generated.
+/// Generated facts; owned, unlike `DecisionFacts`.
 #[derive(Debug, Clone)]
 struct OwnedFacts {
     names: Vec<Option<&'static str>>,
@@ -94,8 +94,8 @@
         .prop_map(|(names, path, stream, keyed)| OwnedFacts { names, path, stream, keyed })
 }
 
-/// The first rule that matches, found by looking at every rule.
-fn naive<'a>(
+/// The first rule that matches, found by linear search.
+fn linear_search<'a>(
     document: &'a RuleDocument,
     kind: DecisionKind,
     facts: &DecisionFacts<'_>,
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn matcher_agrees_with_naive_one() {
+fn index_agrees_with_linear_search() {
     let random = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, random);
@@ -123,8 +123,8 @@
             let place = book.place(&facts).0;
             let steps = book.explain(DecisionKind::Admit, &facts);
 
-            prop_assert_eq!(admit, naive(&document, DecisionKind::Admit, &facts));
-            prop_assert_eq!(place, naive(&document, DecisionKind::Place, &facts));
+            prop_assert_eq!(admit, linear_search(&document, DecisionKind::Admit, &facts));
+            prop_assert_eq!(place, linear_search(&document, DecisionKind::Place, &facts));
             let explained = steps
                 .last()
                 .filter(|step| step.verdict == RuleVerdict::Decides)
@@ -132,5 +132,5 @@
             prop_assert_eq!(admit, explained);
             Ok(())
         })
-        .expect("both matchers agree");
+        .expect("index and linear search agree");
 }
--- a/crates/model/tests/settings_problems.rs
+++ b/crates/model/tests/settings_problems.rs
@@ -1,11 +1,11 @@
-//! Settings that are refused: each problem with its line, key and remedy.
+//! Refused settings: each problem is reported with its line, key and remedy.
 
 use std::path::Path;
 
 use assert_matches::assert_matches;
 use briartray_model::settings::{SettingsError, SettingsProblem, parse};
 
-const SOUND: &str = "\
+const VALID_SETTINGS: &str = "\
 node: n
 zone: z
 cluster:
@@ -33,18 +33,19 @@
 }
 
 #[test]
-fn sound_settings_load_with_defaults() {
-    let settings = parse(Path::new("node.yaml"), SOUND).expect("they hold");
+fn valid_settings_load_with_defaults() {
+    let settings = parse(Path::new("node.yaml"), VALID_SETTINGS).expect("the settings are valid");
 
     assert_eq!(settings.entry.map(|entry| entry.max_open_requests), Some(4096));
 }
 
 #[test]
-fn every_problem_is_told_at_once() {
-    // An operator brings a file with several slips. Told one at a time, each costs another try.
+fn every_problem_is_reported_at_once() {
+    // A file with several mistakes. If they were reported one at a time, each would cost the
+    // operator another attempt.
     let text = format!(
         "{}  max_open_request: 4\n  when_rules_unconfirmed: maybe\n  max_body_bytes: -3\n",
-        SOUND.replace("127.0.0.1:7000", "nowhere")
+        VALID_SETTINGS.replace("127.0.0.1:7000", "nowhere")
     );
 
     let found = places(&text);
@@ -60,10 +61,10 @@
 
 #[test]
 fn misspelt_choice_with_a_value_is_one_problem() {
-    // An operator misspells a choice that carries a value. Told besides of problems that only came
-    // of trying to read on, the operator would look for mistakes that are not in the file.
+    // A misspelt variant that has a value must not be corrected to parse on: that would report
+    // follow-up problems, and the operator would look for mistakes that are not in the file.
     let text = format!(
-        "{SOUND}control:\n  link: 127.0.0.1:7000\n  operator: 127.0.0.1:9000\n  \
+        "{VALID_SETTINGS}control:\n  link: 127.0.0.1:7000\n  operator: 127.0.0.1:9000\n  \
          data_folder: d\n  rules_hold: {{ bounded: 5 }}\n"
     );
 
@@ -74,25 +75,25 @@
 }
 
 #[test]
-fn slip_of_the_pen_is_answered_with_the_right_key() {
-    let found = problems(&format!("{SOUND}  max_open_request: 4\n"));
+fn misspelt_key_suggests_the_nearest_name() {
+    let found = problems(&format!("{VALID_SETTINGS}  max_open_request: 4\n"));
 
     assert_eq!(found[0].remedy, "did you mean `max_open_requests`? correct or remove the key");
 }
 
 #[test]
 fn missing_key_is_named_with_its_section() {
-    let found = places(&SOUND.replace("  listen: 127.0.0.1:8080", "  max_body_bytes: 5"));
+    let found = places(&VALID_SETTINGS.replace("  listen: 127.0.0.1:8080", "  max_body_bytes: 5"));
 
     assert_eq!(found, vec![place(9, "entry.listen")]);
 }
 
 #[test]
-fn values_that_do_not_fit_each_other_are_all_named() {
+fn conflicting_values_are_all_reported() {
     let text = format!(
         "{}control:\n  link: 127.0.0.1:7000\n  operator: 10.0.0.1:9000\n  data_folder: d\n\
          log:\n  level: loud\n",
-        SOUND.replace("long-enough", "short").replace("    - node: n", "    - node: m")
+        VALID_SETTINGS.replace("long-enough", "short").replace("    - node: n", "    - node: m")
     );
 
     let found = places(&text);
