--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -28,8 +28,7 @@
 pub struct ClientSettings {
     /// Shared secret of the deployment.
     pub token: String,
-    /// Time limit for connecting, for the h2 handshake and for the first ping, the ping counted
-    /// separately.
+    /// Time limit for connecting and the h2 handshake, and again for the first ping.
     pub connect_timeout: Duration,
 }
 
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -140,7 +140,8 @@
     loop {
         tokio::select! {
             accepted = connection.accept() => match accepted {
-                Some(Ok((request, respond))) => accept_stream(request, respond, from, shared, &proof),
+                Some(Ok((request, respond))) =>
+                    accept_stream(request, respond, from, shared, &proof),
                 Some(Err(_)) | None => return,
             },
             () = &mut path_lost => {
--- a/crates/model/src/message/update.rs
+++ b/crates/model/src/message/update.rs
@@ -45,15 +45,15 @@
         let (mut changed, mut gone) = (Vec::new(), Vec::new());
         let mut known = earlier.groups.iter().peekable();
         for record in &later.groups {
-            while let Some(lost) = known.next_if(|known| known.group < record.group) {
-                gone.push(lost.group);
+            while let Some(removed) = known.next_if(|known| known.group < record.group) {
+                gone.push(removed.group);
             }
             let same = known.next_if(|known| known.group == record.group) == Some(record);
             if !same {
                 changed.push(record.clone());
             }
         }
-        gone.extend(known.map(|lost| lost.group));
+        gone.extend(known.map(|removed| removed.group));
         let rules_differ = (earlier.revision, &earlier.rules) != (later.revision, &later.rules);
         let rules = RuleText { revision: later.revision, text: later.rules.clone() };
         Self {
