--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -11,7 +11,7 @@
 };
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::{IncarnationId, RequestPrint, ServiceName, TeamName};
+use briartray_model::names::{IncarnationId, RequestFingerprint, ServiceName, TeamName};
 use briartray_platform::{AnswerHead, CallerHead, DispatchTerms, dispatch_request};
 use briartray_quarantine::{PrintParts, PrintStanding};
 use bytes::Bytes;
@@ -48,7 +48,7 @@
     /// Endpoint that the request was last sent to.
     pub(super) sent_to: Option<SentTo>,
     /// Fingerprint of the request, computed on first use.
-    pub(super) fingerprint: OnceCell<RequestPrint>,
+    pub(super) fingerprint: OnceCell<RequestFingerprint>,
     /// Number of replicas that may have run the request. A replica that reported that it did not
     /// run it does not count towards the rule's maximum number of attempts.
     pub(super) runs: u32,
@@ -131,7 +131,7 @@
     head: &CallerHead,
     team: Option<&TeamName>,
     body: &[u8],
-) -> RequestPrint {
+) -> RequestFingerprint {
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let team = team.map(TeamName::as_str);
     state.fingerprint(&PrintParts { host: &head.host, path, team, body })
@@ -144,7 +144,7 @@
     }
 
     /// Fingerprint of the request, which does not depend on its ID.
-    pub(super) fn fingerprint(&self) -> RequestPrint {
+    pub(super) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             request_fingerprint(
                 &self.state,
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use crate::connection::{PathProof, monitor_path, ping_answered};
+use crate::connection::{PathLiveness, monitor_path, ping_answered};
 use crate::stream::{LinkReader, LinkWriter, StreamEnds, receive_frames, send_frames, stream_pair};
 use crate::{CallKind, LinkError, PROTOCOL_VERSION, TOKEN_HEADER, VERSION_HEADER};
 
@@ -263,7 +263,7 @@
     let _ = events.send(PoolEvent::Opened(address, generation, Ok(sender)));
     tokio::select! {
         _ = connection => {}
-        () = monitor_path(ping, PathProof::new()) =>
+        () = monitor_path(ping, PathLiveness::new()) =>
             log::warn!("no ping answer on the link to {address}; closing it"),
     }
     let _ = events.send(PoolEvent::Closed(address, generation));
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -17,11 +17,11 @@
 /// ping. Without this bound, a message that was delayed for minutes would look recent, and
 /// an order could run after its sender was informed that it never would.
 #[derive(Debug, Clone)]
-pub struct PathProof {
+pub struct PathLiveness {
     sent: Arc<Mutex<Instant>>,
 }
 
-impl PathProof {
+impl PathLiveness {
     /// Starts with the current time.
     ///
     /// The accepting side may count from the time it accepted, because the connecting side
@@ -41,18 +41,18 @@
     }
 }
 
-/// Sends pings until one is not answered in time; records each answer in `proof`.
+/// Sends pings until one is not answered in time; records each answer in `liveness`.
 ///
 /// When a middlebox drops its state of a connection, both ends keep the connection open, nothing
 /// arrives and no error is raised. Only an answer from the other end shows that the path works.
-pub(crate) async fn monitor_path(mut ping: PingPong, proof: PathProof) {
+pub(crate) async fn monitor_path(mut ping: PingPong, liveness: PathLiveness) {
     loop {
         tokio::time::sleep(PING_INTERVAL).await;
         let sent = Instant::now();
         if !ping_answered(&mut ping, PING_TIMEOUT).await {
             return;
         }
-        proof.renew(sent);
+        liveness.renew(sent);
     }
 }
 
--- a/crates/link/src/forwarder.rs
+++ b/crates/link/src/forwarder.rs
@@ -15,7 +15,7 @@
 ///
 /// After a stream breaks, the messages queued until then are dropped: the protocols on top resend
 /// what is still needed, and old messages would only delay new ones.
-pub fn carry_messages<T: Serialize>(
+pub fn forward_messages<T: Serialize>(
     client: &LinkClient,
     address: SocketAddr,
     kind: CallKind,
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -14,9 +14,9 @@
 mod stream;
 
 pub use client::{ClientSettings, LinkClient};
-pub use connection::PathProof;
+pub use connection::PathLiveness;
 pub use error::LinkError;
-pub use forwarder::carry_messages;
+pub use forwarder::forward_messages;
 pub use frame::MAX_FRAME_BYTES;
 pub use server::{LinkServer, LinkStream};
 pub use stream::{EncodedMessage, LinkReader, LinkWriter};
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::client::{CONNECTION_WINDOW_BYTES, STREAM_WINDOW_BYTES};
-use crate::connection::{PathProof, monitor_path};
+use crate::connection::{PathLiveness, monitor_path};
 use crate::stream::{LinkReader, LinkWriter, receive_frames, send_frames, stream_pair};
 use crate::{CallKind, LinkError, PROTOCOL_VERSION, TOKEN_HEADER, VERSION_HEADER};
 
@@ -34,7 +34,7 @@
     /// Receives requests.
     pub reader: LinkReader,
     /// Bounds how long a request can have been in transit.
-    pub proof: PathProof,
+    pub liveness: PathLiveness,
 }
 
 /// Accepts streams from other processes.
@@ -125,7 +125,7 @@
     if socket.set_nodelay(true).is_err() {
         return;
     }
-    let proof = PathProof::new();
+    let liveness = PathLiveness::new();
     let handshake = h2::server::Builder::new()
         .initial_window_size(STREAM_WINDOW_BYTES)
         .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
@@ -136,12 +136,12 @@
         return;
     };
     let Some(ping) = connection.ping_pong() else { return };
-    let mut path_lost = std::pin::pin!(monitor_path(ping, proof.clone()));
+    let mut path_lost = std::pin::pin!(monitor_path(ping, liveness.clone()));
     loop {
         tokio::select! {
             accepted = connection.accept() => match accepted {
                 Some(Ok((request, respond))) =>
-                    accept_stream(request, respond, from, shared, &proof),
+                    accept_stream(request, respond, from, shared, &liveness),
                 Some(Err(_)) | None => return,
             },
             () = &mut path_lost => {
@@ -157,7 +157,7 @@
     mut respond: SendResponse<Bytes>,
     from: SocketAddr,
     shared: &ServerShared,
-    proof: &PathProof,
+    liveness: &PathLiveness,
 ) {
     let kind = match check_request(&request, &shared.token) {
         Ok(kind) => kind,
@@ -171,7 +171,7 @@
     let (writer, reader, ends) = stream_pair();
     tokio::spawn(send_frames(ends.outgoing, body));
     tokio::spawn(receive_frames(request.into_body(), ends.incoming));
-    (shared.handler)(LinkStream { kind, from, writer, reader, proof: proof.clone() });
+    (shared.handler)(LinkStream { kind, from, writer, reader, liveness: liveness.clone() });
 }
 
 /// Checks token, protocol version and path before any message is read; returns the status of a
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -58,12 +58,12 @@
 
     /// Time from the entry's request for which the entry may make decisions; `None` when unlimited.
     pub fn usable(&self) -> Option<Duration> {
-        self.longest().map(|longest| longest - longest / CLOCK_DRIFT_DIVISOR)
+        self.max_duration().map(|max_duration| max_duration - max_duration / CLOCK_DRIFT_DIVISOR)
     }
 
     /// Time from the leader's answer for which the leader must assume that the entry may apply
     /// its rules; `None` when unlimited.
-    pub fn longest(&self) -> Option<Duration> {
+    pub fn max_duration(&self) -> Option<Duration> {
         match self.hold {
             HoldPolicy::BoundedMs(hold) => Some(self.lease.max(Duration::from_millis(hold))),
             HoldPolicy::UntilForgotten => None,
--- a/crates/model/src/message/quarantine.rs
+++ b/crates/model/src/message/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine: reports of runs during which an endpoint crashed or that completed, and the
 //! requests that are refused because they crash endpoints.
 
-use crate::names::{IncarnationId, RequestPrint, TeamName, TermNumber};
+use crate::names::{IncarnationId, RequestFingerprint, TeamName, TermNumber};
 
 plain_choice! {
     /// Version of a quarantine view: the term of the leader that created it, and its number in that
@@ -36,7 +36,7 @@
     /// One run that an entry reports.
     pub struct RunEvent {
         /// Fingerprint of the request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
         /// Time since the run ended, in milliseconds.
         pub age_ms: u64,
         /// How the run ended.
@@ -45,12 +45,12 @@
 
     /// The quarantine as sent to entries.
     #[derive(Default)]
-    pub struct PrintView {
+    pub struct FingerprintView {
         /// Version of this view.
         pub version: ViewVersion,
         /// Requests that are refused, in ascending order.
-        pub quarantined: Vec<RequestPrint>,
+        pub quarantined: Vec<RequestFingerprint>,
         /// Requests that are suspected and may be quarantined, in ascending order.
-        pub suspects: Vec<RequestPrint>,
+        pub suspects: Vec<RequestFingerprint>,
     }
 }
--- a/crates/model/src/message/update.rs
+++ b/crates/model/src/message/update.rs
@@ -3,7 +3,7 @@
 
 use crate::names::{GroupId, RevisionNumber};
 
-use super::watch::{GroupRecord, LeavingMark, RoutingSnapshot};
+use super::watch::{GroupRecord, LeavingGroup, RoutingSnapshot};
 
 plain_value! {
     /// A newer snapshot, whole or as changes.
@@ -27,7 +27,7 @@
         /// Groups that were removed, in id order.
         pub gone: Vec<GroupId>,
         /// The complete new list of leaving groups, if it changed.
-        pub leaving: Option<Vec<LeavingMark>>,
+        pub leaving: Option<Vec<LeavingGroup>>,
     }
 
     /// A rule document with its revision.
--- a/crates/model/src/message/watch.rs
+++ b/crates/model/src/message/watch.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::quarantine::{PrintView, RunEvent, ViewVersion};
+use super::quarantine::{FingerprintView, RunEvent, ViewVersion};
 use super::update::SnapshotUpdate;
 use crate::lease::LeaseTerms;
 use crate::names::{
@@ -75,7 +75,7 @@
         /// Shares of the limits in the request.
         pub shares: Vec<LimitGrant>,
         /// The quarantine view, if the watcher has another version of it.
-        pub prints: Option<PrintView>,
+        pub prints: Option<FingerprintView>,
     }
 
     /// Everything that an entry needs for its decisions.
@@ -90,7 +90,7 @@
         /// All groups, in id order.
         pub groups: Vec<GroupRecord>,
         /// Groups that are leaving.
-        pub leaving: Vec<LeavingMark>,
+        pub leaving: Vec<LeavingGroup>,
     }
 
     /// One group, as sent to entries.
@@ -120,7 +120,7 @@
     }
 
     /// A group that takes no new work.
-    pub struct LeavingMark {
+    pub struct LeavingGroup {
         /// The group.
         pub group: GroupId,
     }
--- a/crates/model/src/names/mod.rs
+++ b/crates/model/src/names/mod.rs
@@ -49,5 +49,5 @@
     ChangeId;
     /// Fingerprint (keyed hash) of a request's content; the same for every copy of the request,
     /// whatever its id.
-    RequestPrint;
+    RequestFingerprint;
 }
