--- a/crates/cli/src/cmd/measure/choice/mod.rs
+++ b/crates/cli/src/cmd/measure/choice/mod.rs
@@ -1,7 +1,8 @@
-//! `briartray measure choice`: ways to choose a replica under the same seeded load.
+//! `briartray measure choice`: policies for choosing a replica, compared under the same seeded
+//! load.
 //!
-//! The decision runs against a small model of replicas in simulated time, in one thread; nothing is
-//! sent anywhere.
+//! Each policy runs against a small model of the replicas in simulated time, in one thread and
+//! without network traffic.
 
 mod model;
 mod policy;
@@ -22,10 +23,10 @@
 use self::policy::PolicyKind;
 use crate::cmd::{CommandError, OutputFormat};
 
-/// Choices timed for the cost of one.
+/// Choices over which the mean time of one is taken.
 const TIMED_CHOICES: u32 = 200_000;
 
-/// Policies that run at one time.
+/// Policies that run concurrently.
 const PARALLEL_POLICIES: usize = 4;
 
 #[derive(Debug, Options)]
@@ -46,10 +47,10 @@
 
 pub(super) fn run(options: &ChoiceOptions) -> Result<(), CommandError> {
     let plans: Vec<ModelPlan> = match options.size.as_str() {
-        "today" => vec![ModelPlan::today()],
-        "design" => vec![ModelPlan::design()],
-        "both" => vec![ModelPlan::today(), ModelPlan::design()],
-        _ => return Err(CommandError::unusable("--size is today, design or both")),
+        "today" => vec![ModelPlan::current_size()],
+        "design" => vec![ModelPlan::design_size()],
+        "both" => vec![ModelPlan::current_size(), ModelPlan::design_size()],
+        _ => return Err(CommandError::unusable("--size must be today, design or both")),
     };
     let mut tables = Vec::new();
     for plan in &plans {
@@ -70,14 +71,14 @@
     Ok(())
 }
 
-/// Runs each policy on a thread of its own, a few at a time; each is as if it ran alone.
+/// Runs each policy on a thread of its own, a few at a time; the runs share no state.
 fn run_policies(plan: &ModelPlan, only: &str, seed: u64) -> Vec<(&'static str, ModelResult)> {
     let chosen: Vec<PolicyKind> =
         PolicyKind::ALL.into_iter().filter(|kind| kind.name().contains(only)).collect();
     let mut rows = Vec::new();
-    for few in chosen.chunks(PARALLEL_POLICIES) {
+    for batch in chosen.chunks(PARALLEL_POLICIES) {
         std::thread::scope(|scope| {
-            let runs: Vec<_> = few
+            let runs: Vec<_> = batch
                 .iter()
                 .map(|kind| (kind.name(), scope.spawn(|| run_model(plan, *kind, seed))))
                 .collect();
@@ -112,7 +113,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let route = RouteAction::default();
     let mut table = policy::make_table(plan, 0);
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in 0..TIMED_CHOICES {
         let now = TimePoint(u64::from(number) * 100);
         let prefix = Some(PrefixDigest(random.random()));
@@ -122,5 +123,5 @@
             table.release(now, record.group, result, None, &mut random);
         }
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_CHOICES)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(TIMED_CHOICES)
 }
--- a/crates/cli/src/cmd/measure/choice/model.rs
+++ b/crates/cli/src/cmd/measure/choice/model.rs
@@ -1,4 +1,4 @@
-//! Entries, replicas and the network between them in simulated time.
+//! Discrete-event simulation of entries, replicas and the network between them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -13,21 +13,21 @@
 use super::replica::{EngineCost, ModelReplica, ReplicaRequest};
 
 /// Time between two load reports of an engine, in microseconds.
-const REPORT_MICROS: u64 = 200_000;
+const REPORT_INTERVAL_MICROS: u64 = 200_000;
 
-/// How late cache events come, in microseconds.
-const EVENT_MICROS: u64 = 200_000;
+/// Delay of a cache event, in microseconds.
+const CACHE_EVENT_DELAY_MICROS: u64 = 200_000;
 
-/// Share of cache events that never come.
-const EVENT_LOSS: f64 = 0.02;
+/// Share of cache events that are lost.
+const CACHE_EVENT_LOSS: f64 = 0.02;
 
-/// Wait of a request for which no replica has room, in microseconds.
-const BUSY_MICROS: u64 = 5_000;
+/// Delay before a request that found no replica with room chooses again, in microseconds.
+const CHOICE_RETRY_MICROS: u64 = 5_000;
 
-/// Factor on the steps of a straggler.
-const STRAGGLER_SLOWNESS: f64 = 4.0;
+/// Factor on the step time of a straggler.
+const STRAGGLER_STEP_FACTOR: f64 = 4.0;
 
-/// What is simulated.
+/// Size and costs of the simulated fleet.
 #[derive(Debug, Clone)]
 pub(super) struct ModelPlan {
     pub(super) replicas: usize,
@@ -39,17 +39,21 @@
     /// Requests in one engine's batch.
     pub(super) batch: usize,
     cost: EngineCost,
-    cache_limit: usize,
+    /// Prefixes in one engine's cache.
+    max_cached_prefixes: usize,
     mean_tokens: u64,
-    near_micros: u64,
-    far_micros: u64,
+    /// Delay between an entry and a replica of the same zone.
+    same_zone_micros: u64,
+    /// Delay between an entry and a replica of another zone.
+    cross_zone_micros: u64,
     seconds: u64,
-    warm_seconds: u64,
+    /// Time at the start whose requests are not counted.
+    warm_up_seconds: u64,
 }
 
 impl ModelPlan {
-    /// Thirty replicas in three zones behind four entries.
-    pub(super) fn today() -> Self {
+    /// The current size: 30 replicas in three zones and four entries.
+    pub(super) fn current_size() -> Self {
         Self {
             replicas: 30,
             entries: 4,
@@ -57,18 +61,23 @@
             rate: 0.0,
             prefixes: 300,
             batch: 64,
-            cost: EngineCost { step: 8_000.0, full_batch: 8_000.0, miss: 12_000.0, hit: 2_000.0 },
-            cache_limit: 24,
+            cost: EngineCost {
+                step: 8_000.0,
+                full_batch: 8_000.0,
+                prefill_miss: 12_000.0,
+                prefill_hit: 2_000.0,
+            },
+            max_cached_prefixes: 24,
             mean_tokens: 128,
-            near_micros: 100,
-            far_micros: 1_000,
+            same_zone_micros: 100,
+            cross_zone_micros: 1_000,
             seconds: 60,
-            warm_seconds: 12,
+            warm_up_seconds: 12,
         }
     }
 
-    /// The size that the design aims for.
-    pub(super) fn design() -> Self {
+    /// The size that the design targets.
+    pub(super) fn design_size() -> Self {
         Self {
             replicas: 2_800,
             entries: 460,
@@ -76,22 +85,27 @@
             rate: 0.0,
             prefixes: 20_000,
             batch: 160,
-            cost: EngineCost { step: 24_000.0, full_batch: 16_000.0, miss: 12_000.0, hit: 2_000.0 },
-            cache_limit: 32,
+            cost: EngineCost {
+                step: 24_000.0,
+                full_batch: 16_000.0,
+                prefill_miss: 12_000.0,
+                prefill_hit: 2_000.0,
+            },
+            max_cached_prefixes: 32,
             mean_tokens: 473,
-            near_micros: 250,
-            far_micros: 15_000,
+            same_zone_micros: 250,
+            cross_zone_micros: 15_000,
             seconds: 75,
-            warm_seconds: 35,
+            warm_up_seconds: 35,
         }
     }
 
-    /// The same at `share` of what the replicas can do when every prefix is cached.
+    /// This plan at `share` of the request rate that the replicas sustain with every prefix cached.
     pub(super) fn at_load(&self, share: f64) -> Self {
         let batch = self.batch as f64;
         let decode = self.cost.step + self.cost.full_batch;
         let started = batch / self.mean_tokens as f64;
-        let step = decode + started * self.cost.hit;
+        let step = decode + started * self.cost.prefill_hit;
         let rate = self.replicas as f64 * started / (step / 1e6);
         Self { rate: share * rate, ..self.clone() }
     }
@@ -102,19 +116,19 @@
 
     fn delay(&self, entry: usize, replica: usize) -> u64 {
         let same = self.zone_of(entry) == self.zone_of(replica);
-        if same { self.near_micros } else { self.far_micros }
+        if same { self.same_zone_micros } else { self.cross_zone_micros }
     }
 
-    /// Every fiftieth replica, and at least one, is a straggler in the second quarter of time.
+    /// Every fiftieth replica, and at least one, is a straggler in the second quarter of the run.
     fn is_straggler(&self, replica: usize) -> bool {
         replica % 50 == 11
     }
 }
 
 plain_value! {
-    /// What one policy came to.
+    /// Results of one policy.
     pub(super) struct ModelResult {
-        /// Requests whose first token was counted.
+        /// Counted requests: those that arrived after the warm-up and received a first token.
         pub(super) answered: usize,
         pub(super) p50_ms: f64,
         pub(super) p95_ms: f64,
@@ -124,7 +138,7 @@
     }
 }
 
-/// One thing that happens.
+/// An event of the simulation; a `usize` is the index of a request or of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ModelEvent {
     Arrive,
@@ -133,8 +147,8 @@
     Step(usize),
     End(usize),
     Report,
-    Cache { prefix: u32, replica: usize, stored: bool },
-    SetSlow(bool),
+    CacheEvent { prefix: u32, replica: usize, stored: bool },
+    SetStragglers(bool),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -146,32 +160,38 @@
     tokens: u64,
 }
 
-struct Model<'a> {
+struct ChoiceModel<'a> {
     plan: &'a ModelPlan,
     kind: PolicyKind,
+    /// Random numbers of the load, separate so that the load is the same for every policy.
     load: ChaCha8Rng,
+    /// Random numbers of the choices and of lost cache events.
     random: ChaCha8Rng,
+    /// Scheduled events by time and event number.
     events: BinaryHeap<Reverse<(u64, u64, ModelEvent)>>,
+    /// Orders events of the same time by their creation.
     event_number: u64,
     replicas: Vec<ModelReplica>,
+    /// Last load report of each replica.
     reports: Vec<LoadReport>,
     entries: Vec<EntryPolicy>,
     requests: Vec<ModelRequest>,
-    /// Cumulated shares of prefixes, by popularity.
-    popularity: Vec<f64>,
-    first_micros: Vec<u64>,
+    /// Cumulative shares of the prefixes, the most popular first.
+    cumulative_popularity: Vec<f64>,
+    first_token_micros: Vec<u64>,
     hits: usize,
+    /// Counted requests that ran in the zone of their entry.
     own_zone: usize,
 }
 
-/// Runs `plan` with every entry choosing by `kind`; the load depends on `seed` alone.
+/// Simulates `plan` with every entry choosing by `kind`; the load depends only on `seed`.
 pub(super) fn run_model(plan: &ModelPlan, kind: PolicyKind, seed: u64) -> ModelResult {
     let shared: Vec<_> = (0..plan.zones).map(|zone| make_table(plan, zone)).collect();
     let entries = (0..plan.entries)
         .map(|number| EntryPolicy::new(kind, plan, number, &shared[plan.zone_of(number)]))
         .collect();
-    let make = |_| ModelReplica::new(plan.cost, plan.batch, plan.cache_limit);
-    let mut model = Model {
+    let make = |_| ModelReplica::new(plan.cost, plan.batch, plan.max_cached_prefixes);
+    let mut model = ChoiceModel {
         plan,
         kind,
         load: ChaCha8Rng::seed_from_u64(seed),
@@ -182,8 +202,8 @@
         reports: vec![LoadReport::default(); plan.replicas],
         entries,
         requests: Vec::new(),
-        popularity: popularity(plan.prefixes),
-        first_micros: Vec::new(),
+        cumulative_popularity: cumulative_popularity(plan.prefixes),
+        first_token_micros: Vec::new(),
         hits: 0,
         own_zone: 0,
     };
@@ -191,8 +211,9 @@
     model.result()
 }
 
-/// Popularity that falls with the rank, as the few templates of a firm do.
-fn popularity(count: usize) -> Vec<f64> {
+/// Cumulative shares of a Zipf distribution with exponent 0.8, as when a company uses a few prompt
+/// templates most of the time.
+fn cumulative_popularity(count: usize) -> Vec<f64> {
     let mut sum = 0.0;
     let mut shares: Vec<f64> = (1..=count)
         .map(|rank| {
@@ -204,13 +225,13 @@
     shares
 }
 
-impl Model<'_> {
+impl ChoiceModel<'_> {
     fn run(&mut self) {
         let end = self.plan.seconds * 1_000_000;
-        self.push(0, ModelEvent::Arrive);
-        self.push(0, ModelEvent::Report);
-        self.push(end / 4, ModelEvent::SetSlow(true));
-        self.push(end / 2, ModelEvent::SetSlow(false));
+        self.schedule(0, ModelEvent::Arrive);
+        self.schedule(0, ModelEvent::Report);
+        self.schedule(end / 4, ModelEvent::SetStragglers(true));
+        self.schedule(end / 2, ModelEvent::SetStragglers(false));
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= end {
                 return;
@@ -219,7 +240,7 @@
         }
     }
 
-    fn push(&mut self, at: u64, event: ModelEvent) {
+    fn schedule(&mut self, at: u64, event: ModelEvent) {
         self.event_number += 1;
         self.events.push(Reverse((at, self.event_number, event)));
     }
@@ -232,15 +253,15 @@
             ModelEvent::Step(replica) => self.step(now, replica),
             ModelEvent::End(number) => self.end(now, number),
             ModelEvent::Report => self.report(now),
-            ModelEvent::Cache { prefix, replica, stored } => {
+            ModelEvent::CacheEvent { prefix, replica, stored } => {
                 for entry in &mut self.entries {
-                    entry.learn(prefix, replica, stored);
+                    entry.apply_cache_event(prefix, replica, stored);
                 }
             }
-            ModelEvent::SetSlow(slow) => {
+            ModelEvent::SetStragglers(slow) => {
                 for (number, replica) in self.replicas.iter_mut().enumerate() {
                     let slow = slow && self.plan.is_straggler(number);
-                    replica.slowness = if slow { STRAGGLER_SLOWNESS } else { 1.0 };
+                    replica.step_factor = if slow { STRAGGLER_STEP_FACTOR } else { 1.0 };
                 }
             }
         }
@@ -249,9 +270,9 @@
     fn arrive(&mut self, now: u64) {
         let draw: f64 = self.load.random();
         let gap = -(1.0 - draw).ln() / self.plan.rate * 1e6;
-        self.push(now + gap as u64, ModelEvent::Arrive);
+        self.schedule(now + gap as u64, ModelEvent::Arrive);
         let rank: f64 = self.load.random();
-        let prefix = self.popularity.partition_point(|share| *share < rank);
+        let prefix = self.cumulative_popularity.partition_point(|share| *share < rank);
         let request = ModelRequest {
             arrived: now,
             entry: self.load.random_range(0..self.plan.entries),
@@ -267,17 +288,17 @@
         let request = self.requests[number];
         let entry = &mut self.entries[request.entry];
         let Some(replica) = entry.choose(TimePoint(now), request.prefix, &mut self.random) else {
-            return self.push(now + BUSY_MICROS, ModelEvent::Choose(number));
+            return self.schedule(now + CHOICE_RETRY_MICROS, ModelEvent::Choose(number));
         };
         self.requests[number].replica = replica;
         let delay = self.plan.delay(request.entry, replica);
-        self.push(now + delay, ModelEvent::Submit(number));
+        self.schedule(now + delay, ModelEvent::Submit(number));
     }
 
     fn submit(&mut self, now: u64, number: usize) {
         let ModelRequest { replica, prefix, tokens, .. } = self.requests[number];
-        if self.kind.wants_events() && !self.replicas[replica].holds(prefix) {
-            self.tell_event(now, prefix, replica, true);
+        if self.kind.uses_cache_events() && !self.replicas[replica].holds(prefix) {
+            self.schedule_cache_event(now, prefix, replica, true);
         }
         self.replicas[replica].submit(ReplicaRequest { number, prefix, tokens });
         if !self.replicas[replica].is_stepping {
@@ -285,43 +306,46 @@
         }
     }
 
-    fn tell_event(&mut self, now: u64, prefix: u32, replica: usize, stored: bool) {
-        if !self.random.random_bool(EVENT_LOSS) {
-            self.push(now + EVENT_MICROS, ModelEvent::Cache { prefix, replica, stored });
+    fn schedule_cache_event(&mut self, now: u64, prefix: u32, replica: usize, stored: bool) {
+        if !self.random.random_bool(CACHE_EVENT_LOSS) {
+            self.schedule(
+                now + CACHE_EVENT_DELAY_MICROS,
+                ModelEvent::CacheEvent { prefix, replica, stored },
+            );
         }
     }
 
     fn begin_step(&mut self, now: u64, replica: usize) {
         let evicted = self.replicas[replica].take_evicted();
-        if self.kind.wants_events() {
+        if self.kind.uses_cache_events() {
             for prefix in evicted {
-                self.tell_event(now, prefix, replica, false);
+                self.schedule_cache_event(now, prefix, replica, false);
             }
         }
-        if let Some(took) = self.replicas[replica].begin_step() {
-            self.push(now + took as u64, ModelEvent::Step(replica));
+        if let Some(duration_micros) = self.replicas[replica].begin_step() {
+            self.schedule(now + duration_micros as u64, ModelEvent::Step(replica));
         }
     }
 
     fn step(&mut self, now: u64, replica: usize) {
         let result = self.replicas[replica].end_step();
         for (number, hit) in result.first {
-            self.count_first(now, number, hit);
+            self.count_first_token(now, number, hit);
         }
         for number in result.done {
             let delay = self.plan.delay(self.requests[number].entry, replica);
-            self.push(now + delay, ModelEvent::End(number));
+            self.schedule(now + delay, ModelEvent::End(number));
         }
         self.begin_step(now, replica);
     }
 
-    fn count_first(&mut self, now: u64, number: usize, hit: bool) {
+    fn count_first_token(&mut self, now: u64, number: usize, hit: bool) {
         let request = self.requests[number];
-        if request.arrived < self.plan.warm_seconds * 1_000_000 {
+        if request.arrived < self.plan.warm_up_seconds * 1_000_000 {
             return;
         }
         let delay = self.plan.delay(request.entry, request.replica);
-        self.first_micros.push(now + delay - request.arrived);
+        self.first_token_micros.push(now + delay - request.arrived);
         self.hits += usize::from(hit);
         let own = self.plan.zone_of(request.entry) == self.plan.zone_of(request.replica);
         self.own_zone += usize::from(own);
@@ -333,7 +357,7 @@
         self.entries[entry].release(TimePoint(now), replica, &report, &mut self.random);
     }
 
-    /// Engines report from time to time; what agents pass on is as old as the last report.
+    /// Takes the load report of every engine; until the next one, agents pass on these values.
     fn report(&mut self, now: u64) {
         for (report, replica) in self.reports.iter_mut().zip(&self.replicas) {
             *report = LoadReport {
@@ -343,18 +367,18 @@
                 step_micros: replica.step_micros(),
             };
         }
-        self.push(now + REPORT_MICROS, ModelEvent::Report);
+        self.schedule(now + REPORT_INTERVAL_MICROS, ModelEvent::Report);
     }
 
     fn result(mut self) -> ModelResult {
-        self.first_micros.sort_unstable();
-        let count = self.first_micros.len().max(1);
+        self.first_token_micros.sort_unstable();
+        let count = self.first_token_micros.len().max(1);
         let at = |share: f64| {
             let place = ((count as f64 * share) as usize).min(count - 1);
-            self.first_micros.get(place).copied().unwrap_or_default() as f64 / 1000.0
+            self.first_token_micros.get(place).copied().unwrap_or_default() as f64 / 1000.0
         };
         ModelResult {
-            answered: self.first_micros.len(),
+            answered: self.first_token_micros.len(),
             p50_ms: at(0.5),
             p95_ms: at(0.95),
             p99_ms: at(0.99),
--- a/crates/cli/src/cmd/measure/choice/policy.rs
+++ b/crates/cli/src/cmd/measure/choice/policy.rs
@@ -1,4 +1,4 @@
-//! The ways to choose that are compared, as one entry runs them.
+//! The compared policies for choosing a replica, as run by one entry.
 
 use std::net::SocketAddr;
 
@@ -17,23 +17,29 @@
 
 use super::model::ModelPlan;
 
-/// Requests over the mean, in percent, up to which a holder known from cache events is preferred.
-const EVENT_BOUND_PERCENT: u32 = 125;
+/// Load up to which a holder known from cache events is preferred, in percent of the mean load.
+const CACHE_HOLDER_LOAD_BOUND_PERCENT: u32 = 125;
 
-/// Prefixes whose holders an entry remembers from cache events.
-const MAX_KNOWN: usize = 4096;
+/// Most prefixes whose holders an entry remembers from cache events.
+const MAX_KNOWN_PREFIXES: usize = 4096;
 
-/// Which way to choose.
+/// A policy for choosing a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PolicyKind {
     Random,
     RoundRobin,
+    /// The replica with the lowest reported load.
     LeastReported,
+    /// Two random choices over all zones.
     TwoChoices,
-    Zones,
-    FleetRing,
-    Ring,
-    Events,
+    /// Two random choices, own zone first.
+    TwoChoicesInZone,
+    /// Prefix affinity over all zones.
+    RingOverZones,
+    /// Prefix affinity, own zone first.
+    RingInZone,
+    /// Prefix affinity, own zone first, but a replica known from cache events is preferred.
+    RingWithCacheEvents,
 }
 
 impl PolicyKind {
@@ -42,10 +48,10 @@
         Self::RoundRobin,
         Self::LeastReported,
         Self::TwoChoices,
-        Self::Zones,
-        Self::FleetRing,
-        Self::Ring,
-        Self::Events,
+        Self::TwoChoicesInZone,
+        Self::RingOverZones,
+        Self::RingInZone,
+        Self::RingWithCacheEvents,
     ];
 
     pub(super) fn name(self) -> &'static str {
@@ -54,36 +60,41 @@
             Self::RoundRobin => "round robin",
             Self::LeastReported => "least reported",
             Self::TwoChoices => "ours, two choices",
-            Self::Zones => "ours, and own zone",
-            Self::FleetRing => "ours, ring over zones",
-            Self::Ring => "ours, as wired",
-            Self::Events => "ours, and cache events",
+            Self::TwoChoicesInZone => "ours, and own zone",
+            Self::RingOverZones => "ours, ring over zones",
+            Self::RingInZone => "ours, as wired",
+            Self::RingWithCacheEvents => "ours, and cache events",
         }
     }
 
-    /// Whether cache events are told to entries.
-    pub(super) fn wants_events(self) -> bool {
-        self == Self::Events
+    /// Whether entries receive cache events.
+    pub(super) fn uses_cache_events(self) -> bool {
+        self == Self::RingWithCacheEvents
     }
 
     fn route(self) -> RouteAction {
         RouteAction {
-            same_zone_first: !matches!(self, Self::TwoChoices | Self::FleetRing),
-            prefix_affinity: matches!(self, Self::FleetRing | Self::Ring | Self::Events),
+            same_zone_first: !matches!(self, Self::TwoChoices | Self::RingOverZones),
+            prefix_affinity: matches!(
+                self,
+                Self::RingOverZones | Self::RingInZone | Self::RingWithCacheEvents
+            ),
             ..RouteAction::default()
         }
     }
 }
 
-/// The choice of one entry.
+/// The policy of one entry, with its state.
 #[derive(Debug)]
 pub(super) enum EntryPolicy {
+    /// A baseline policy.
     Naive(NaiveChoice),
-    Ours { table: Box<ReplicaTable>, route: RouteAction, holders: Option<HolderTable> },
+    /// The replica table of a real entry, with holders known from cache events if it uses them.
+    Table { table: Box<ReplicaTable>, route: RouteAction, holders: Option<HolderTable> },
 }
 
 impl EntryPolicy {
-    /// The choice of entry `number`; `shared` holds the table of its zone.
+    /// The policy of entry `number`; `shared` is the table of its zone, which is copied.
     pub(super) fn new(
         kind: PolicyKind,
         plan: &ModelPlan,
@@ -95,15 +106,15 @@
             PolicyKind::Random => naive(NaivePolicy::Random),
             PolicyKind::RoundRobin => naive(NaivePolicy::RoundRobin),
             PolicyKind::LeastReported => naive(NaivePolicy::LeastReported),
-            _ => Self::Ours {
+            _ => Self::Table {
                 table: Box::new(shared.clone()),
                 route: kind.route(),
-                holders: kind.wants_events().then(HolderTable::default),
+                holders: kind.uses_cache_events().then(HolderTable::default),
             },
         }
     }
 
-    /// The replica for a request; `None` when it must wait.
+    /// Chooses the replica for a request; `None` when the request must wait.
     pub(super) fn choose(
         &mut self,
         now: TimePoint,
@@ -112,10 +123,11 @@
     ) -> Option<usize> {
         match self {
             Self::Naive(choice) => Some(choice.choose(random)),
-            Self::Ours { table, route, holders } => {
+            Self::Table { table, route, holders } => {
                 let digest = PrefixDigest(xxh3_64(&prefix.to_le_bytes()));
-                if let Some(holder) = holders.as_ref().and_then(|known| known.holder(prefix, table))
-                    && table.claim(now, GroupId(holder as u64), EVENT_BOUND_PERCENT)
+                if let Some(holder) =
+                    holders.as_ref().and_then(|known| known.least_loaded_holder(prefix, table))
+                    && table.claim(now, GroupId(holder as u64), CACHE_HOLDER_LOAD_BOUND_PERCENT)
                 {
                     return Some(holder);
                 }
@@ -129,7 +141,7 @@
         }
     }
 
-    /// Counts a request off.
+    /// Records the end of a request and the load that the replica reported.
     pub(super) fn release(
         &mut self,
         now: TimePoint,
@@ -139,30 +151,30 @@
     ) {
         match self {
             Self::Naive(choice) => choice.report(replica, report.in_flight),
-            Self::Ours { table, .. } => {
+            Self::Table { table, .. } => {
                 let group = GroupId(replica as u64);
                 table.release(now, group, AttemptResult::Answered, Some(report), random);
             }
         }
     }
 
-    /// Takes a cache event in.
-    pub(super) fn learn(&mut self, prefix: u32, replica: usize, stored: bool) {
-        if let Self::Ours { holders: Some(holders), .. } = self {
-            holders.learn(prefix, replica, stored);
+    /// Applies a cache event.
+    pub(super) fn apply_cache_event(&mut self, prefix: u32, replica: usize, stored: bool) {
+        if let Self::Table { holders: Some(holders), .. } = self {
+            holders.apply_cache_event(prefix, replica, stored);
         }
     }
 }
 
-/// Holders of prefixes by cache events, which come late and with gaps.
+/// Replicas that hold each prefix, by cache events, which are delayed and sometimes lost.
 #[derive(Debug, Default)]
 pub(super) struct HolderTable {
     holders: briartray_model::SortedTable<u32, Vec<usize>>,
 }
 
 impl HolderTable {
-    fn learn(&mut self, prefix: u32, replica: usize, stored: bool) {
-        if !self.holders.contains_key(&prefix) && self.holders.len() >= MAX_KNOWN {
+    fn apply_cache_event(&mut self, prefix: u32, replica: usize, stored: bool) {
+        if !self.holders.contains_key(&prefix) && self.holders.len() >= MAX_KNOWN_PREFIXES {
             return;
         }
         let known = self.holders.get_or_insert_with(prefix, Vec::new);
@@ -172,14 +184,14 @@
         }
     }
 
-    /// The holder with the fewest requests of this entry.
-    fn holder(&self, prefix: u32, table: &ReplicaTable) -> Option<usize> {
+    /// The holder with the fewest open requests of this entry.
+    fn least_loaded_holder(&self, prefix: u32, table: &ReplicaTable) -> Option<usize> {
         let known = self.holders.get(&prefix)?;
         known.iter().copied().min_by_key(|replica| table.own_load(GroupId(*replica as u64)))
     }
 }
 
-/// The table of an entry in zone `zone`.
+/// The replica table of an entry in zone `zone`.
 pub(super) fn make_table(plan: &ModelPlan, zone: usize) -> ReplicaTable {
     let groups = (0..plan.replicas).map(|number| GroupRecord {
         group: GroupId(number as u64),
