--- a/crates/cli/src/cmd/measure/capacity/encoding.rs
+++ b/crates/cli/src/cmd/measure/capacity/encoding.rs
@@ -1,4 +1,4 @@
-//! Size of what entries are sent, by the number of groups in it.
+//! Encoded size of the snapshots and updates that entries receive, by the number of groups.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
@@ -8,24 +8,24 @@
 use briartray_model::names::{FencingNumber, GroupId, HostName};
 
 use super::lines::MeasuredLine;
-use super::slope::SizePoint;
+use super::regression::SizePoint;
 use crate::cmd::CommandError;
 
-/// How often a snapshot is decoded at each size.
-const ROUNDS: u32 = 20;
+/// Decodings of a snapshot over which the mean time is taken.
+const DECODE_ROUNDS: u32 = 20;
 
-/// Bytes of a snapshot, and the time to decode it, by its groups.
+/// Bytes of a snapshot, and the time to decode it, by its number of groups.
 pub(super) fn snapshot(sizes: &[usize]) -> Result<Vec<MeasuredLine>, CommandError> {
     let (mut bytes, mut times) = (Vec::new(), Vec::new());
     for size in sizes {
-        let encoded = codec::encode(&sample(*size)).map_err(CommandError::refused)?;
+        let encoded = codec::encode(&sample_snapshot(*size)).map_err(CommandError::refused)?;
         let started = Instant::now();
-        for _ in 0..ROUNDS {
+        for _ in 0..DECODE_ROUNDS {
             codec::decode::<RoutingSnapshot>(&encoded).map_err(CommandError::refused)?;
         }
-        let each = started.elapsed().as_secs_f64() * 1000.0 / f64::from(ROUNDS);
+        let each_ms = started.elapsed().as_secs_f64() * 1000.0 / f64::from(DECODE_ROUNDS);
         bytes.push(SizePoint { size: *size as f64, cost: encoded.len() as f64 });
-        times.push(SizePoint { size: *size as f64, cost: each });
+        times.push(SizePoint { size: *size as f64, cost: each_ms });
     }
     Ok(vec![
         MeasuredLine::new("entry", "group in a snapshot", "bytes", bytes),
@@ -33,11 +33,11 @@
     ])
 }
 
-/// Bytes of an update by the groups that changed, out of as many as the design size has.
+/// Bytes of an update by the number of groups that changed, out of `groups`.
 pub(super) fn changes(sizes: &[usize], groups: usize) -> Result<Vec<MeasuredLine>, CommandError> {
     let mut bytes = Vec::new();
     for size in sizes {
-        let earlier = sample(groups);
+        let earlier = sample_snapshot(groups);
         let mut later = earlier.clone();
         later.version += 1;
         later.groups.iter_mut().take(*size).for_each(|record| record.whole = false);
@@ -48,7 +48,7 @@
     Ok(vec![MeasuredLine::new("entry", "changed group in an update", "bytes", bytes)])
 }
 
-fn sample(groups: usize) -> RoutingSnapshot {
+fn sample_snapshot(groups: usize) -> RoutingSnapshot {
     let record = |number: usize| GroupRecord {
         group: GroupId(number as u64),
         fencing: FencingNumber(number as u64 * 3),
--- a/crates/cli/src/cmd/measure/capacity/lines.rs
+++ b/crates/cli/src/cmd/measure/capacity/lines.rs
@@ -1,4 +1,4 @@
-//! The measurements themselves: each yields what one more of something costs a role.
+//! The measurements: each yields cost lines, the cost for a role by the number of some unit.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -9,45 +9,45 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::child::{RoleProcess, free_address};
-use super::peers::PeerCrowd;
+use super::daemon::{DaemonProcess, free_address};
+use super::peers::StandinPeers;
+use super::regression::{CostLine, SizePoint, spread_percent};
 use super::relay::CountingRelay;
 use super::settings;
-use super::slope::{CostLine, SizePoint, spread_percent};
-use super::window::{WindowUsage, measure};
+use super::window::{WindowUsage, measure_window};
 use crate::cmd::CommandError;
 use crate::cmd::operator::OperatorPort;
 
-/// Time that a fleet is left alone before it is measured.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Idle time of a fleet before it is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Length of one window.
-const WINDOW: Duration = Duration::from_secs(5);
+/// Length of one measured window.
+const WINDOW_LENGTH: Duration = Duration::from_secs(5);
 
-/// How long a change may take to be seen by every watcher.
-const CHANGE_WAIT: Duration = Duration::from_secs(30);
+/// Longest wait for a change to reach every watcher, or for an entry to become ready.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often that is looked at.
-const CHANGE_CHECK: Duration = Duration::from_millis(5);
+/// Wait between two checks for either.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Changes that are applied at each number of watchers.
-const CHANGES: u64 = 8;
+/// Rule changes applied at each number of watchers.
+const CHANGES_PER_SIZE: u64 = 8;
 
-/// Requests that the stand-in engine runs at one time.
+/// Concurrent requests of the stand-in engine.
 const ENGINE_BATCH: usize = 4096;
 
-/// What one more of something costs.
+/// A cost of one role, fitted as a line over the number of some unit.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(super) struct MeasuredLine {
-    /// Role that pays.
+    /// Role that bears the cost.
     pub(super) role: &'static str,
-    /// Of what there is one more.
+    /// What the size of a point counts.
     pub(super) of: &'static str,
     /// Unit of the cost.
     pub(super) unit: &'static str,
-    /// Every point.
+    /// Every measured point.
     pub(super) points: Vec<SizePoint>,
-    /// The line through them.
+    /// Line fitted to the points.
     pub(super) line: CostLine,
     /// Largest spread over the runs at one size, in percent of their mean.
     pub(super) spread: f64,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Usage at several sizes.
+/// Usage in one window at each of several sizes.
 #[derive(Debug, Default)]
 struct UsageSeries(Vec<(f64, WindowUsage)>);
 
@@ -81,15 +81,20 @@
     fn lines(&self, role: &'static str, of: &'static str) -> Vec<MeasuredLine> {
         vec![
             MeasuredLine::new(role, of, "% of a core", self.points(|usage| usage.core_percent)),
-            MeasuredLine::new(role, of, "bytes/s", self.points(|usage| usage.bytes)),
-            MeasuredLine::new(role, of, "bytes of memory", self.points(|usage| usage.resident)),
+            MeasuredLine::new(role, of, "bytes/s", self.points(|usage| usage.bytes_per_second)),
+            MeasuredLine::new(
+                role,
+                of,
+                "bytes of memory",
+                self.points(|usage| usage.resident_bytes),
+            ),
         ]
     }
 }
 
-/// A control host that is measured.
+/// A running control host.
 struct ControlHost {
-    process: RoleProcess,
+    process: DaemonProcess,
     link: SocketAddr,
     operator: SocketAddr,
     _folder: tempfile::TempDir,
@@ -100,7 +105,7 @@
     write_rules(folder.path())?;
     let (link, operator) = (free_address()?, free_address()?);
     let settings = settings::control(folder.path(), link, operator);
-    let process = RoleProcess::start(folder.path(), "control", &settings, link)?;
+    let process = DaemonProcess::start(folder.path(), "control", &settings, link)?;
     Ok(ControlHost { process, link, operator, _folder: folder })
 }
 
@@ -108,19 +113,19 @@
     std::fs::write(folder.join("rules.yaml"), settings::RULES).map_err(CommandError::refused)
 }
 
-/// Control and its watchers: idle, and what a change takes.
+/// A control host by its watchers: usage when idle, and the time for a change to reach all of them.
 pub(super) fn watchers(sizes: &[usize]) -> Result<Vec<MeasuredLine>, CommandError> {
     let mut idle = UsageSeries::default();
     let mut delays = Vec::new();
     for size in sizes {
         let control = start_control()?;
         let relay = CountingRelay::start(control.link).map_err(CommandError::refused)?;
-        let crowd = PeerCrowd::watchers(relay.address(), *size)?;
-        std::thread::sleep(SETTLE);
+        let peers = StandinPeers::watchers(relay.address(), *size)?;
+        std::thread::sleep(SETTLE_TIME);
         let relays = [relay];
-        idle.add(*size, measure(&control.process, &relays, WINDOW, || Ok(()))?);
-        for number in 0..CHANGES {
-            let delay = change_delay(&control, &crowd, number)?;
+        idle.add(*size, measure_window(&control.process, &relays, WINDOW_LENGTH, || Ok(()))?);
+        for number in 0..CHANGES_PER_SIZE {
+            let delay = change_delay(&control, &peers, number)?;
             delays.push(SizePoint { size: *size as f64, cost: delay.as_secs_f64() * 1000.0 });
         }
     }
@@ -132,7 +137,7 @@
 /// Applies one change and waits until every watcher has seen it.
 fn change_delay(
     control: &ControlHost,
-    crowd: &PeerCrowd,
+    peers: &StandinPeers,
     number: u64,
 ) -> Result<Duration, CommandError> {
     let operator = control.operator.to_string();
@@ -142,34 +147,34 @@
     let started = Instant::now();
     let reply = port.post("/v1/rules", &json!({ "change": change, "text": text }))?;
     let revision = reply["revision"].as_u64().unwrap_or(u64::MAX);
-    while crowd.oldest_revision() < revision {
-        if started.elapsed() > CHANGE_WAIT {
-            return Err(CommandError::refused("a change did not reach every watcher"));
+    while peers.oldest_revision() < revision {
+        if started.elapsed() > CHANGE_TIMEOUT {
+            return Err(CommandError::refused("a change did not reach every watcher in time"));
         }
-        std::thread::sleep(CHANGE_CHECK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(started.elapsed())
 }
 
-/// Control and connected agents that are idle.
-pub(super) fn sessions(sizes: &[usize]) -> Result<Vec<MeasuredLine>, CommandError> {
+/// A control host by its connected agents, which are idle.
+pub(super) fn agent_sessions(sizes: &[usize]) -> Result<Vec<MeasuredLine>, CommandError> {
     let mut idle = UsageSeries::default();
     for size in sizes {
         let control = start_control()?;
         let relay = CountingRelay::start(control.link).map_err(CommandError::refused)?;
-        let _crowd = PeerCrowd::agents(relay.address(), *size)?;
-        std::thread::sleep(SETTLE);
-        idle.add(*size, measure(&control.process, &[relay], WINDOW, || Ok(()))?);
+        let _peers = StandinPeers::agents(relay.address(), *size)?;
+        std::thread::sleep(SETTLE_TIME);
+        idle.add(*size, measure_window(&control.process, &[relay], WINDOW_LENGTH, || Ok(()))?);
     }
     Ok(idle.lines("control leader", "connected agent"))
 }
 
-/// The agent of a group's first host, and one more member that it renews.
+/// The agent of a group's first host by the other members, whose leases it renews.
 pub(super) fn members(sizes: &[usize]) -> Result<Vec<MeasuredLine>, CommandError> {
     let mut idle = UsageSeries::default();
     for size in sizes {
         let folder = tempfile::tempdir().map_err(CommandError::refused)?;
-        let (crowd, addresses) = PeerCrowd::members(*size)?;
+        let (peers, addresses) = StandinPeers::members(*size)?;
         let relays = addresses
             .iter()
             .map(|address| CountingRelay::start(*address))
@@ -177,40 +182,40 @@
             .map_err(CommandError::refused)?;
         let (control, link) = (free_address()?, free_address()?);
         let through = relays.iter().map(CountingRelay::address).collect();
-        let assigning = PeerCrowd::assigning(control, through)?;
+        let assigning_control = StandinPeers::assigning_control(control, through)?;
         let settings = settings::agent(control, link, free_address()?);
-        let process = RoleProcess::start(folder.path(), "agent", &settings, link)?;
-        std::thread::sleep(SETTLE);
-        idle.add(*size, measure(&process, &relays, WINDOW, || Ok(()))?);
-        drop((crowd, assigning));
+        let process = DaemonProcess::start(folder.path(), "agent", &settings, link)?;
+        std::thread::sleep(SETTLE_TIME);
+        idle.add(*size, measure_window(&process, &relays, WINDOW_LENGTH, || Ok(()))?);
+        drop((peers, assigning_control));
     }
     Ok(idle.lines("agent, first host", "member of the group"))
 }
 
-/// Entry and agent under load, each in a process of its own.
-struct ServingPath {
-    entry: RoleProcess,
-    agent: RoleProcess,
+/// Entry and agent in processes of their own, with the control host and the engine they need.
+struct ServingFleet {
+    entry: DaemonProcess,
+    agent: DaemonProcess,
     address: SocketAddr,
     _control: ControlHost,
     _engine: StandinEngine,
     _folder: tempfile::TempDir,
 }
 
-fn start_path(step: Duration) -> Result<ServingPath, CommandError> {
+fn start_serving_fleet(step: Duration) -> Result<ServingFleet, CommandError> {
     let folder = tempfile::tempdir().map_err(CommandError::refused)?;
     let control = start_control()?;
     let engine = start_engine(step)?;
     let (link, address) = (free_address()?, free_address()?);
     let agent_settings = settings::agent(control.link, link, engine.address());
-    let agent = RoleProcess::start(folder.path(), "agent", &agent_settings, link)?;
+    let agent = DaemonProcess::start(folder.path(), "agent", &agent_settings, link)?;
     let entry_settings = settings::entry(control.link, address);
-    let entry = RoleProcess::start(folder.path(), "entry", &entry_settings, address)?;
+    let entry = DaemonProcess::start(folder.path(), "entry", &entry_settings, address)?;
     wait_ready(address)?;
-    Ok(ServingPath { entry, agent, address, _control: control, _engine: engine, _folder: folder })
+    Ok(ServingFleet { entry, agent, address, _control: control, _engine: engine, _folder: folder })
 }
 
-/// An engine that is never the bottleneck.
+/// Starts an engine that is large enough not to be the bottleneck.
 fn start_engine(step: Duration) -> Result<StandinEngine, CommandError> {
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let settings = EngineSettings::new(listen).step(step).batch(ENGINE_BATCH);
@@ -224,29 +229,29 @@
         if ready.is_ok_and(|response| response.is_success()) {
             return Ok(());
         }
-        if started.elapsed() > CHANGE_WAIT {
-            return Err(CommandError::refused("the measured entry did not become ready"));
+        if started.elapsed() > CHANGE_TIMEOUT {
+            return Err(CommandError::refused("the measured entry did not become ready in time"));
         }
-        std::thread::sleep(CHANGE_CHECK);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Entry and agent: processor time of one request a second, and of one token a second.
+/// Entry and agent: processor time by requests per second and by tokens per second.
 pub(super) fn serving(
     rates: &[usize],
     tokens: &[usize],
     fixed_rate: usize,
 ) -> Result<Vec<MeasuredLine>, CommandError> {
-    let path = start_path(Duration::from_millis(5))?;
+    let fleet = start_serving_fleet(Duration::from_millis(5))?;
     let mut requests = (UsageSeries::default(), UsageSeries::default());
     for rate in rates {
-        let (entry, agent) = load_window(&path, *rate, 1)?;
+        let (entry, agent) = load_window(&fleet, *rate, 1)?;
         requests.0.add(*rate, entry);
         requests.1.add(*rate, agent);
     }
     let mut streams = (UsageSeries::default(), UsageSeries::default());
     for count in tokens {
-        let (entry, agent) = load_window(&path, fixed_rate, *count)?;
+        let (entry, agent) = load_window(&fleet, fixed_rate, *count)?;
         streams.0.add(fixed_rate * count, entry);
         streams.1.add(fixed_rate * count, agent);
     }
@@ -262,25 +267,27 @@
     ])
 }
 
-/// Usage of entry and agent during one load.
+/// Runs one load and returns the usage of entry and agent during it.
 fn load_window(
-    path: &ServingPath,
+    fleet: &ServingFleet,
     rate: usize,
     tokens: usize,
 ) -> Result<(WindowUsage, WindowUsage), CommandError> {
     let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-    let plan = LoadPlan::new(path.address)
-        .pace(rate as f64, WINDOW)
+    let plan = LoadPlan::new(fleet.address)
+        .pace(rate as f64, WINDOW_LENGTH)
         .model("desk", tokens)
         .shares(1.0, 0.0);
     let mut entry = None;
-    let agent = measure(&path.agent, &[], WINDOW, || {
-        let used = measure(&path.entry, &[], WINDOW, || {
+    let agent = measure_window(&fleet.agent, &[], WINDOW_LENGTH, || {
+        let used = measure_window(&fleet.entry, &[], WINDOW_LENGTH, || {
             let report = run_load(&plan, |_, _| {}).map_err(CommandError::refused)?;
             if report.is_clean() {
                 return Ok(());
             }
-            Err(CommandError::refused("an answer was lost, crossed or cut short"))
+            Err(CommandError::refused(
+                "an answer was lost, truncated or delivered to the wrong request",
+            ))
         })?;
         entry = Some(used);
         Ok(())
--- a/crates/cli/src/cmd/measure/capacity/mod.rs
+++ b/crates/cli/src/cmd/measure/capacity/mod.rs
@@ -1,15 +1,15 @@
-//! `briartray measure capacity`: what one more of something costs each role, and from that what
-//! each role needs at the size that the design aims for.
+//! `briartray measure capacity`: the cost for each role of one more entry, agent, request and the
+//! like, and the resources that each role needs at the design size, extrapolated from these costs.
 
-mod child;
+mod daemon;
 mod encoding;
 mod lines;
 mod page;
 mod peers;
+mod regression;
 mod relay;
 mod rows;
 mod settings;
-mod slope;
 pub(super) mod usage;
 mod window;
 
@@ -21,28 +21,28 @@
 use self::lines::MeasuredLine;
 use super::super::{CommandError, OutputFormat};
 
-/// Watching entries at each measurement.
-const WATCHERS: [usize; 3] = [3, 30, 300];
+/// Numbers of watching entries to measure.
+const WATCHER_COUNTS: [usize; 3] = [3, 30, 300];
 
-/// Connected agents at each measurement.
-const AGENTS: [usize; 3] = [10, 100, 400];
+/// Numbers of connected agents to measure.
+const AGENT_COUNTS: [usize; 3] = [10, 100, 400];
 
-/// Members of a group besides its first host.
-const MEMBERS: [usize; 3] = [1, 7, 31];
+/// Numbers of group members to measure, without the first host.
+const MEMBER_COUNTS: [usize; 3] = [1, 7, 31];
 
-/// Requests a second through entry and agent.
-const RATES: [usize; 3] = [50, 100, 200];
+/// Request rates through entry and agent, per second.
+const REQUEST_RATES: [usize; 3] = [50, 100, 200];
 
-/// Tokens of each answer at the fixed rate.
-const TOKENS: [usize; 3] = [8, 32, 128];
+/// Tokens of each answer at [`FIXED_RATE`].
+const ANSWER_TOKENS: [usize; 3] = [8, 32, 128];
 
-/// Groups in a snapshot.
-const GROUPS: [usize; 4] = [30, 300, 1000, 2800];
+/// Numbers of groups in a snapshot.
+const SNAPSHOT_GROUPS: [usize; 4] = [30, 300, 1000, 2800];
 
-/// Groups that change in one update: one, a rack's, a zone's.
-const CHANGED: [usize; 3] = [1, 12, 97];
+/// Numbers of groups that change in one update: one group, a rack's groups, a zone's groups.
+const CHANGED_GROUPS: [usize; 3] = [1, 12, 97];
 
-/// Requests a second while tokens vary.
+/// Requests per second while the number of tokens varies.
 const FIXED_RATE: usize = 40;
 
 #[derive(Debug, Options)]
@@ -59,24 +59,25 @@
 
 pub(in crate::cmd) fn run(options: &CapacityOptions) -> Result<(), CommandError> {
     let mut measured = Vec::new();
-    progress("watching entries");
-    measured.extend(lines::watchers(&repeat(&WATCHERS, options.runs))?);
-    progress("connected agents");
-    measured.extend(lines::sessions(&repeat(&AGENTS, options.runs))?);
-    progress("members of a group");
-    measured.extend(lines::members(&repeat(&MEMBERS, options.runs))?);
-    progress("requests and tokens");
-    let (rates, tokens) = (repeat(&RATES, options.runs), repeat(&TOKENS, options.runs));
+    print_progress("watching entries");
+    measured.extend(lines::watchers(&repeat_sizes(&WATCHER_COUNTS, options.runs))?);
+    print_progress("connected agents");
+    measured.extend(lines::agent_sessions(&repeat_sizes(&AGENT_COUNTS, options.runs))?);
+    print_progress("members of a group");
+    measured.extend(lines::members(&repeat_sizes(&MEMBER_COUNTS, options.runs))?);
+    print_progress("requests and tokens");
+    let (rates, tokens) =
+        (repeat_sizes(&REQUEST_RATES, options.runs), repeat_sizes(&ANSWER_TOKENS, options.runs));
     measured.extend(lines::serving(&rates, &tokens, FIXED_RATE)?);
-    progress("snapshots");
-    measured.extend(encoding::snapshot(&repeat(&GROUPS, options.runs))?);
-    let groups = GROUPS[GROUPS.len() - 1];
-    measured.extend(encoding::changes(&repeat(&CHANGED, options.runs), groups)?);
+    print_progress("snapshots");
+    measured.extend(encoding::snapshot(&repeat_sizes(&SNAPSHOT_GROUPS, options.runs))?);
+    let groups = SNAPSHOT_GROUPS[SNAPSHOT_GROUPS.len() - 1];
+    measured.extend(encoding::changes(&repeat_sizes(&CHANGED_GROUPS, options.runs), groups)?);
     report(options, &measured)
 }
 
 fn report(options: &CapacityOptions, measured: &[MeasuredLine]) -> Result<(), CommandError> {
-    let rows = rows::at_design_size(measured);
+    let rows = rows::design_size_rows(measured);
     if let Some(page) = &options.page {
         page::rewrite(page, measured, &rows)?;
     }
@@ -89,11 +90,11 @@
     Ok(())
 }
 
-/// Each size as often as there are runs.
-fn repeat(sizes: &[usize], runs: usize) -> Vec<usize> {
+/// Repeats each size once per run.
+fn repeat_sizes(sizes: &[usize], runs: usize) -> Vec<usize> {
     sizes.iter().flat_map(|size| std::iter::repeat_n(*size, runs.max(1))).collect()
 }
 
-fn progress(what: &str) {
+fn print_progress(what: &str) {
     eprintln!("measuring {what}");
 }
--- a/crates/cli/src/cmd/measure/capacity/page.rs
+++ b/crates/cli/src/cmd/measure/capacity/page.rs
@@ -1,4 +1,4 @@
-//! The tables of the capacity page, written from measurements.
+//! Tables of the capacity page, generated from the measurements.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use super::rows::CapacityRow;
 use crate::cmd::CommandError;
 
-/// Line before a table that is rewritten.
+/// Marker line before the table of measured lines; each table is replaced between two markers.
 const LINES_BEGIN: &str = "<!-- measured lines: begin -->";
 const LINES_END: &str = "<!-- measured lines: end -->";
 const ROWS_BEGIN: &str = "<!-- rows: begin -->";
@@ -15,7 +15,7 @@
 /// Rewrites the tables of the page in `file`.
 ///
 /// # Errors
-/// The file cannot be read or written, or one of its marks is missing.
+/// The file cannot be read or written, or one of its markers is missing.
 pub(super) fn rewrite(
     file: &Path,
     measured: &[MeasuredLine],
@@ -33,20 +33,25 @@
     end: &str,
     table: &str,
 ) -> Result<String, CommandError> {
-    let missing = || CommandError::unusable(format!("the page has no mark {begin:?} to {end:?}"));
+    let missing = || {
+        CommandError::unusable(format!(
+            "the page does not contain the markers {begin:?} and {end:?} in this order"
+        ))
+    };
     let (head, rest) = text.split_once(begin).ok_or_else(missing)?;
     let (_, tail) = rest.split_once(end).ok_or_else(missing)?;
     Ok(format!("{head}{begin}\n{table}{end}{tail}"))
 }
 
-/// One row for each measured line.
+/// Markdown table with one row for each measured line.
 pub(super) fn line_table(measured: &[MeasuredLine]) -> String {
     let mut table = String::from(
         "| role | one more | unit | sizes | fixed | each | fit | spread |\n\
          |---|---|---|---|---|---|---|---|\n",
     );
     for line in measured {
-        let mut sizes: Vec<String> = line.points.iter().map(|point| number(point.size)).collect();
+        let mut sizes: Vec<String> =
+            line.points.iter().map(|point| format_number(point.size)).collect();
         sizes.dedup();
         table.push_str(&format!(
             "| {} | {} | {} | {} | {} | {} | {:.2} | {:.0}% |\n",
@@ -54,8 +59,8 @@
             line.of,
             line.unit,
             sizes.join(", "),
-            number(line.line.fixed),
-            number(line.line.each),
+            format_number(line.line.fixed),
+            format_number(line.line.each),
             line.line.fit,
             line.spread,
         ));
@@ -63,7 +68,7 @@
     table
 }
 
-/// One row for each role at the design size.
+/// Markdown table with one row for each need of a role at the design size.
 pub(super) fn row_table(rows: &[CapacityRow]) -> String {
     let mut table = String::from(
         "| role | what | at the design size | limit | margin | from | mechanism |\n\
@@ -74,9 +79,9 @@
             "| {} | {} | {} {} | {} | {} | {} | {} |\n",
             row.role,
             row.what,
-            number(row.need),
+            format_number(row.need),
             row.unit,
-            row.limit.map_or_else(|| "none set".to_owned(), number),
+            row.limit.map_or_else(|| "none set".to_owned(), format_number),
             row.margin(),
             row.sum,
             row.mechanism,
@@ -85,8 +90,8 @@
     table
 }
 
-/// A number with about three digits that matter.
-pub(super) fn number(value: f64) -> String {
+/// Formats a number with about three significant digits.
+pub(super) fn format_number(value: f64) -> String {
     let size = value.abs();
     if size >= 1e9 {
         format!("{:.2} G", value / 1e9)
--- a/crates/cli/src/cmd/measure/capacity/peers.rs
+++ b/crates/cli/src/cmd/measure/capacity/peers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the processes around the measured one: watchers, agents and group members.
+//! Stand-ins for the peers of the measured process: watchers, agents, group members and control.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -20,121 +20,121 @@
 use super::settings::TOKEN;
 use crate::cmd::CommandError;
 
-/// Time between renewals of a watcher, as entries renew.
+/// Time between two renewals of a watcher, the same as for entries.
 const RENEW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between announcements of an agent, as agents announce.
+/// Time between two announcements of an agent, the same as for real agents.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(15);
 
-/// How long an answer may take.
-const ANSWER_WAIT: Duration = Duration::from_secs(10);
+/// Longest wait for a message or a connection.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a member promises to stay, in milliseconds.
-const PROMISE_MS: u32 = 2000;
+/// Duration of the lease that a member grants, in milliseconds.
+const LEASE_MS: u32 = 2000;
 
-/// Stand-ins that end with this value.
-pub(super) struct PeerCrowd {
+/// Running stand-ins; dropping the value stops them.
+pub(super) struct StandinPeers {
     running: Arc<AtomicBool>,
-    /// Rules revision that each watcher has seen.
+    /// Latest rules revision that each watcher received.
     seen: Vec<Arc<AtomicU64>>,
     _servers: Vec<LinkServer>,
 }
 
-impl Drop for PeerCrowd {
+impl Drop for StandinPeers {
     fn drop(&mut self) {
         self.running.store(false, Ordering::Relaxed);
     }
 }
 
-impl PeerCrowd {
+impl StandinPeers {
     fn new() -> Self {
         let running = Arc::new(AtomicBool::new(true));
         Self { running, seen: Vec::new(), _servers: Vec::new() }
     }
 
-    /// `count` watchers, each with a connection of its own.
+    /// Starts `count` watchers, each with a connection of its own.
     pub(super) fn watchers(control: SocketAddr, count: usize) -> Result<Self, CommandError> {
-        let mut crowd = Self::new();
+        let mut peers = Self::new();
         for number in 0..count {
             let seen = Arc::new(AtomicU64::new(0));
-            crowd.seen.push(Arc::clone(&seen));
+            peers.seen.push(Arc::clone(&seen));
             let client = connect()?;
-            let running = Arc::clone(&crowd.running);
+            let running = Arc::clone(&peers.running);
             let node = NodeName::new(&format!("entry-{number}"));
-            start(move || {
+            spawn_peer(move || {
                 while running.load(Ordering::Relaxed) {
                     let stream = client.open(control, CallKind::Watch);
                     if let Err(error) = watch(&stream, &node, &running, &seen) {
-                        log::debug!("a watcher starts anew: {error}");
+                        log::debug!("watcher stream failed; reconnecting: {error}");
                     }
                     std::thread::sleep(RENEW_INTERVAL);
                 }
             })?;
         }
-        Ok(crowd)
+        Ok(peers)
     }
 
-    /// `count` agents without a group, each with a connection of its own.
+    /// Starts `count` agents without a group, each with a connection of its own.
     pub(super) fn agents(control: SocketAddr, count: usize) -> Result<Self, CommandError> {
-        let crowd = Self::new();
+        let peers = Self::new();
         for number in 0..count {
             let client = connect()?;
-            let running = Arc::clone(&crowd.running);
+            let running = Arc::clone(&peers.running);
             let announcement = announcement(number);
-            start(move || {
+            spawn_peer(move || {
                 while running.load(Ordering::Relaxed) {
                     let stream = client.open(control, CallKind::Fleet);
                     if let Err(error) = announce(&stream, &announcement, &running) {
-                        log::debug!("an agent starts anew: {error}");
+                        log::debug!("agent stream failed; reconnecting: {error}");
                     }
                     std::thread::sleep(RENEW_INTERVAL);
                 }
             })?;
         }
-        Ok(crowd)
+        Ok(peers)
     }
 
-    /// `count` members that grant every lease, and where each listens.
+    /// Starts `count` members that grant every lease; returns the address of each.
     pub(super) fn members(count: usize) -> Result<(Self, Vec<SocketAddr>), CommandError> {
-        let mut crowd = Self::new();
+        let mut peers = Self::new();
         let mut addresses = Vec::new();
         for _ in 0..count {
-            let server = serve(grant_leases)?;
+            let server = serve_on_loopback(grant_leases)?;
             addresses.push(server.address());
-            crowd._servers.push(server);
+            peers._servers.push(server);
         }
-        Ok((crowd, addresses))
+        Ok((peers, addresses))
     }
 
-    /// A control host that puts whoever announces itself before `members`, at the head of a
-    /// group.
-    pub(super) fn assigning(
+    /// Starts a control host that assigns each agent which announces itself to a group, as first
+    /// host in front of `members`.
+    pub(super) fn assigning_control(
         listen: SocketAddr,
         members: Vec<SocketAddr>,
     ) -> Result<Self, CommandError> {
-        let mut crowd = Self::new();
+        let mut peers = Self::new();
         let handler = move |stream: LinkStream| assign(&stream, &members);
         let server = serve_at(listen, handler)?;
-        crowd._servers.push(server);
-        Ok(crowd)
+        peers._servers.push(server);
+        Ok(peers)
     }
 
-    /// The oldest rules revision that a watcher still has.
+    /// Oldest among the latest revisions of the watchers.
     pub(super) fn oldest_revision(&self) -> u64 {
         self.seen.iter().map(|seen| seen.load(Ordering::Relaxed)).min().unwrap_or_default()
     }
 }
 
 fn connect() -> Result<LinkClient, CommandError> {
-    let settings = ClientSettings { token: TOKEN.to_owned(), connect_timeout: ANSWER_WAIT };
+    let settings = ClientSettings { token: TOKEN.to_owned(), connect_timeout: REPLY_TIMEOUT };
     LinkClient::start("stand-in", settings).map_err(CommandError::refused)
 }
 
-fn start(run: impl FnOnce() + Send + 'static) -> Result<(), CommandError> {
+fn spawn_peer(run: impl FnOnce() + Send + 'static) -> Result<(), CommandError> {
     spawn_worker("stand-in", WORKER_STACK_BYTES, run).map(drop).map_err(CommandError::refused)
 }
 
-fn serve(handler: fn(LinkStream)) -> Result<LinkServer, CommandError> {
+fn serve_on_loopback(handler: fn(LinkStream)) -> Result<LinkServer, CommandError> {
     serve_at(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)), handler)
 }
 
@@ -146,8 +146,8 @@
     let handler = Arc::new(handler);
     let spawn = move |stream| {
         let handler = Arc::clone(&handler);
-        if let Err(error) = start(move || handler(stream)) {
-            log::error!("a stand-in cannot serve: {error}");
+        if let Err(error) = spawn_peer(move || handler(stream)) {
+            log::error!("stand-in could not start a thread; stream dropped: {error}");
         }
     };
     LinkServer::start(listen, TOKEN, Box::new(spawn)).map_err(CommandError::refused)
@@ -176,7 +176,7 @@
             prints: ViewVersion::default(),
             runs: Vec::new(),
         })?;
-        let reply: WatchReply = reader.receive(ANSWER_WAIT)?;
+        let reply: WatchReply = reader.receive(REPLY_TIMEOUT)?;
         if let Some(update) = reply.snapshot {
             match update {
                 SnapshotUpdate::Whole(snapshot) => {
@@ -227,9 +227,9 @@
 }
 
 fn grant_leases(stream: LinkStream) {
-    while let Ok(request) = stream.reader.receive::<MemberRequest>(ANSWER_WAIT) {
+    while let Ok(request) = stream.reader.receive::<MemberRequest>(REPLY_TIMEOUT) {
         let MemberRequest::Lease { nonce, .. } = request;
-        let reply = MemberReply::Granted { nonce, duration_ms: PROMISE_MS, endpoint_ready: true };
+        let reply = MemberReply::Granted { nonce, duration_ms: LEASE_MS, endpoint_ready: true };
         if stream.writer.send(&reply).is_err() {
             return;
         }
@@ -237,14 +237,14 @@
 }
 
 fn assign(stream: &LinkStream, members: &[SocketAddr]) {
-    let mut told = false;
-    while let Ok(report) = stream.reader.receive::<AgentReport>(ANSWER_WAIT) {
+    let mut assigned = false;
+    while let Ok(report) = stream.reader.receive::<AgentReport>(REPLY_TIMEOUT) {
         let AgentReport::Announce(announcement) = report else { continue };
-        if told {
+        if assigned {
             continue;
         }
         let directive = ControlDirective::Assign(group_of(&announcement, members));
-        told = stream.writer.send(&directive).is_ok();
+        assigned = stream.writer.send(&directive).is_ok();
     }
 }
 
--- a/crates/cli/src/cmd/measure/capacity/regression.rs
+++ b/crates/cli/src/cmd/measure/capacity/regression.rs
@@ -1,43 +1,43 @@
-//! A straight line through measured points.
+//! Linear regression over measured points.
 
 use serde::Serialize;
 
-/// One measured point: a size, and what it cost.
+/// One measured point: a size and its cost.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub(super) struct SizePoint {
     pub(super) size: f64,
     pub(super) cost: f64,
 }
 
-/// The line of least squares: cost = fixed + each * size.
+/// A line fitted by least squares: cost = fixed + each * size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub(super) struct CostLine {
     pub(super) fixed: f64,
     pub(super) each: f64,
-    /// Share of the variation that the line explains; one is a perfect fit.
+    /// Coefficient of determination (R squared): 1 is a perfect fit.
     pub(super) fit: f64,
 }
 
 impl CostLine {
-    /// Fits a line to `points`; a flat one when all sizes are the same.
+    /// Fits a line to `points`; its slope is zero when all sizes are the same.
     pub(super) fn fit(points: &[SizePoint]) -> Self {
         let count = points.len().max(1) as f64;
         let mean = |pick: fn(&SizePoint) -> f64| points.iter().map(pick).sum::<f64>() / count;
         let (mean_size, mean_cost) = (mean(|point| point.size), mean(|point| point.cost));
-        let spread: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
-        let joint: f64 =
+        let size_variation: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
+        let covariance: f64 =
             points.iter().map(|point| (point.size - mean_size) * (point.cost - mean_cost)).sum();
-        let each = if spread > 0.0 { joint / spread } else { 0.0 };
+        let each = if size_variation > 0.0 { covariance / size_variation } else { 0.0 };
         let fixed = mean_cost - each * mean_size;
-        let total: f64 = points.iter().map(|point| (point.cost - mean_cost).powi(2)).sum();
-        let left: f64 =
+        let cost_variation: f64 = points.iter().map(|point| (point.cost - mean_cost).powi(2)).sum();
+        let residual: f64 =
             points.iter().map(|point| (point.cost - fixed - each * point.size).powi(2)).sum();
-        let fit = if total > 0.0 { 1.0 - left / total } else { 1.0 };
+        let fit = if cost_variation > 0.0 { 1.0 - residual / cost_variation } else { 1.0 };
         Self { fixed, each, fit }
     }
 }
 
-/// Largest distance between the costs measured at one size, in percent of their mean.
+/// Largest difference between the costs measured at one size, in percent of their mean.
 pub(super) fn spread_percent(points: &[SizePoint]) -> f64 {
     let mut widest = 0.0_f64;
     for point in points {
--- a/crates/cli/src/cmd/measure/capacity/relay.rs
+++ b/crates/cli/src/cmd/measure/capacity/relay.rs
@@ -1,4 +1,4 @@
-//! A relay on loopback that counts what passes.
+//! A TCP relay on loopback that counts the bytes it copies.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,10 +7,10 @@
 
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
 
-/// Bytes that are copied at one time.
+/// Size of the copy buffer.
 const COPY_BYTES: usize = 16 * 1024;
 
-/// A relay in front of one address.
+/// A relay to one target address; dropping it stops accepting connections.
 pub(super) struct CountingRelay {
     address: SocketAddr,
     bytes: Arc<AtomicU64>,
@@ -30,20 +30,22 @@
                 if stop.load(Ordering::Relaxed) {
                     return;
                 }
-                if let Err(error) = join(caller, target, &count) {
-                    log::debug!("relay could not connect: {error}");
+                if let Err(error) = relay_connection(caller, target, &count) {
+                    log::debug!(
+                        "relay could not connect to its target; connection dropped: {error}"
+                    );
                 }
             }
         })?;
         Ok(Self { address, bytes, stopped })
     }
 
-    /// Where to connect instead of the target.
+    /// Address to connect to instead of the target.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bytes passed so far, both ways.
+    /// Bytes copied so far, in both directions.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -52,23 +54,29 @@
 impl Drop for CountingRelay {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        // One connection wakes the thread that accepts.
+        // A connection unblocks the accepting thread, which then sees the flag.
         drop(TcpStream::connect(self.address));
     }
 }
 
-fn join(caller: TcpStream, target: SocketAddr, count: &Arc<AtomicU64>) -> std::io::Result<()> {
+fn relay_connection(
+    caller: TcpStream,
+    target: SocketAddr,
+    count: &Arc<AtomicU64>,
+) -> std::io::Result<()> {
     let peer = TcpStream::connect(target)?;
     caller.set_nodelay(true)?;
     peer.set_nodelay(true)?;
     let (caller_back, peer_back) = (caller.try_clone()?, peer.try_clone()?);
     let (forth, back) = (Arc::clone(count), Arc::clone(count));
-    spawn_worker("relay-forth", WORKER_STACK_BYTES, move || copy(caller, peer, &forth))?;
-    spawn_worker("relay-back", WORKER_STACK_BYTES, move || copy(peer_back, caller_back, &back))?;
+    spawn_worker("relay-forth", WORKER_STACK_BYTES, move || copy_counted(caller, peer, &forth))?;
+    spawn_worker("relay-back", WORKER_STACK_BYTES, move || {
+        copy_counted(peer_back, caller_back, &back)
+    })?;
     Ok(())
 }
 
-fn copy(mut from: TcpStream, mut to: TcpStream, count: &AtomicU64) {
+fn copy_counted(mut from: TcpStream, mut to: TcpStream, count: &AtomicU64) {
     let mut buffer = vec![0; COPY_BYTES];
     while let Ok(read) = from.read(&mut buffer) {
         if read == 0 || to.write_all(&buffer[..read]).is_err() {
--- a/crates/cli/src/cmd/measure/capacity/settings.rs
+++ b/crates/cli/src/cmd/measure/capacity/settings.rs
@@ -1,18 +1,18 @@
-//! Settings files of the daemons that are measured.
+//! Settings files of the measured daemons.
 
 use std::net::SocketAddr;
 use std::path::Path;
 
 use serde_json::{Value, json};
 
-/// Secret of the measured deployment; it never leaves loopback.
+/// Cluster token of the measured deployment; it is used on loopback only.
 pub(super) const TOKEN: &str = "measurement-only";
 
-/// Rules with one service whose replicas have one host.
+/// Rule document with one service whose replicas have one host each.
 pub(super) const RULES: &str = "services: [{ name: desk, hosts_per_replica: 1, capacity: 4096 }]\n\
     rules:\n- rule: all\n  then: { admit: {}, route: {}, retry: {}, place: {}, stop: {} }\n";
 
-fn common(node: &str, control: SocketAddr) -> Value {
+fn common_settings(node: &str, control: SocketAddr) -> Value {
     json!({
         "node": node,
         "zone": "zone-1",
@@ -24,9 +24,9 @@
     })
 }
 
-/// A control host.
+/// Settings of a control host.
 pub(super) fn control(folder: &Path, link: SocketAddr, operator: SocketAddr) -> Value {
-    let mut settings = common("control-1", link);
+    let mut settings = common_settings("control-1", link);
     settings["control"] = json!({
         "link": link,
         "operator": operator,
@@ -36,16 +36,16 @@
     settings
 }
 
-/// An entry that reaches control at `control`.
+/// Settings of an entry that connects to control at `control`.
 pub(super) fn entry(control: SocketAddr, listen: SocketAddr) -> Value {
-    let mut settings = common("entry-1", control);
+    let mut settings = common_settings("entry-1", control);
     settings["entry"] = json!({ "listen": listen });
     settings
 }
 
-/// An agent that reaches control at `control`.
+/// Settings of an agent that connects to control at `control`.
 pub(super) fn agent(control: SocketAddr, link: SocketAddr, endpoint: SocketAddr) -> Value {
-    let mut settings = common("agent-1", control);
+    let mut settings = common_settings("agent-1", control);
     settings["agent"] = json!({
         "link": link,
         "host": "host-1",
--- a/crates/cli/src/cmd/measure/capacity/window.rs
+++ b/crates/cli/src/cmd/measure/capacity/window.rs
@@ -1,38 +1,38 @@
-//! What a process uses, and what passes a relay, during a window of time.
+//! Usage of a process and traffic through relays during a window of time.
 
 use std::time::{Duration, Instant};
 
-use super::child::RoleProcess;
+use super::daemon::DaemonProcess;
 use super::relay::CountingRelay;
 use crate::cmd::CommandError;
 
-/// What was used per second of the window.
+/// Usage during a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct WindowUsage {
-    /// Share of one core, in percent.
+    /// Processor time, in percent of one core.
     pub(super) core_percent: f64,
     /// Bytes per second through the relays.
-    pub(super) bytes: f64,
+    pub(super) bytes_per_second: f64,
     /// Resident memory at the end, in bytes.
-    pub(super) resident: f64,
+    pub(super) resident_bytes: f64,
 }
 
 /// Measures `process` and `relays` for `length` while `work` runs.
-pub(super) fn measure(
-    process: &RoleProcess,
+pub(super) fn measure_window(
+    process: &DaemonProcess,
     relays: &[CountingRelay],
     length: Duration,
     work: impl FnOnce() -> Result<(), CommandError>,
 ) -> Result<WindowUsage, CommandError> {
-    let passed = || relays.iter().map(CountingRelay::bytes).sum::<u64>();
-    let (before, bytes_before, started) = (process.usage()?, passed(), Instant::now());
+    let relayed_bytes = || relays.iter().map(CountingRelay::bytes).sum::<u64>();
+    let (before, bytes_before, started) = (process.usage()?, relayed_bytes(), Instant::now());
     work()?;
     std::thread::sleep(length.saturating_sub(started.elapsed()));
-    let (after, bytes_after) = (process.usage()?, passed());
+    let (after, bytes_after) = (process.usage()?, relayed_bytes());
     let seconds = started.elapsed().as_secs_f64();
     Ok(WindowUsage {
         core_percent: (after.cpu - before.cpu).as_secs_f64() / seconds * 100.0,
-        bytes: (bytes_after - bytes_before) as f64 / seconds,
-        resident: after.resident_bytes as f64,
+        bytes_per_second: (bytes_after - bytes_before) as f64 / seconds,
+        resident_bytes: after.resident_bytes as f64,
     })
 }
