--- a/crates/cli/src/cmd/measure/affinity.rs
+++ b/crates/cli/src/cmd/measure/affinity.rs
@@ -1,4 +1,5 @@
-//! `briartray measure affinity`: first tokens with and without prefix affinity on real fleets.
+//! `briartray measure affinity`: time to first token with and without prefix affinity, on
+//! two running demo fleets.
 
 use std::time::Duration;
 
@@ -9,20 +10,20 @@
 use crate::cmd::{CommandError, OutputFormat};
 use crate::demo::{DemoFleet, DemoPlan};
 
-/// How long the fleet may take to be ready.
-const READY_WAIT: Duration = Duration::from_secs(30);
+/// Longest wait for a fleet to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time in which every replica becomes whole and is known to the entry.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for every replica to become ready and for the entry to learn of it.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Bytes of each shared prefix: 512 tokens, or 32 blocks of the engine's cache.
+/// Bytes of each shared prefix: 512 tokens, or 32 blocks of the engine's prefix cache.
 const PREFIX_BYTES: usize = 2048;
 
-/// Blocks in each engine's cache: a quarter of all prefixes.
+/// Blocks in each engine's prefix cache: room for a quarter of all prefixes.
 const CACHE_BLOCKS: usize = 512;
 
-/// Prefixes shared among the requests.
-const PREFIXES: u32 = 64;
+/// Number of different prefixes that the requests share.
+const PREFIX_COUNT: u32 = 64;
 
 #[derive(Debug, Options)]
 pub(super) struct AffinityOptions {
@@ -37,19 +38,25 @@
 }
 
 pub(super) fn run(options: &AffinityOptions) -> Result<(), CommandError> {
-    // Both fleets run at the same time, so that whatever else the machine does falls on both.
-    let (with, without) = std::thread::scope(|scope| {
-        let without = scope.spawn(|| run_fleet(options, false));
-        (run_fleet(options, true), without.join())
+    // Both fleets run at the same time, so that other load on the machine affects both equally.
+    let (with_affinity, without_affinity) = std::thread::scope(|scope| {
+        let without_affinity = scope.spawn(|| run_fleet(options, false));
+        (run_fleet(options, true), without_affinity.join())
     });
-    let without = without.map_err(|_| CommandError::refused("the second fleet failed"))??;
-    let with = with?;
+    let without_affinity = without_affinity.map_err(|_| {
+        CommandError::refused("the thread of the fleet without affinity panicked")
+    })??;
+    let with_affinity = with_affinity?;
     match options.output {
-        OutputFormat::Json => println!("{}", json!({ "ring": with, "two_choices": without })),
-        OutputFormat::Text => print_both(&with, &without),
+        OutputFormat::Json => {
+            println!("{}", json!({ "ring": with_affinity, "two_choices": without_affinity }))
+        }
+        OutputFormat::Text => print_reports(&with_affinity, &without_affinity),
     }
-    if !(with.is_clean() && without.is_clean()) {
-        return Err(CommandError::refused("an answer was lost, crossed or cut short"));
+    if !(with_affinity.is_clean() && without_affinity.is_clean()) {
+        return Err(CommandError::refused(
+            "an answer was lost, truncated or delivered to the wrong request",
+        ));
     }
     Ok(())
 }
@@ -66,23 +73,23 @@
         ..DemoPlan::default()
     };
     let fleet = DemoFleet::start(&demo).map_err(CommandError::unusable)?;
-    if !fleet.wait_until_ready(READY_WAIT) {
-        return Err(CommandError::refused("no replica became whole; look at the log"));
+    if !fleet.wait_until_ready(READY_TIMEOUT) {
+        return Err(CommandError::refused("no replica became ready; check the log"));
     }
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let plan = LoadPlan::new(fleet.caller_address())
         .pace(options.rate, Duration::from_secs_f64(options.seconds))
         .model("desk", 16)
         .shares(1.0, 0.0)
-        .prefixes(PREFIXES, PREFIX_BYTES);
+        .prefixes(PREFIX_COUNT, PREFIX_BYTES);
     let report = run_load(&plan, |_, _| {}).map_err(CommandError::refused);
     fleet.stop();
     report
 }
 
-fn print_both(with: &LoadReport, without: &LoadReport) {
+fn print_reports(with_affinity: &LoadReport, without_affinity: &LoadReport) {
     println!("{:<22} {:>8} {:>8} {:>8} {:>8}", "first token, ms", "answered", "p50", "p95", "p99");
-    for (name, report) in [("prefix ring", with), ("two choices", without)] {
+    for (name, report) in [("prefix ring", with_affinity), ("two choices", without_affinity)] {
         let first = &report.first_token;
         println!(
             "{name:<22} {:>8} {:>8.1} {:>8.1} {:>8.1}",
--- a/crates/cli/src/cmd/measure/agreement.rs
+++ b/crates/cli/src/cmd/measure/agreement.rs
@@ -1,7 +1,8 @@
-//! `briartray measure agreement`: commits, catching up and idling of the replicated log.
+//! `briartray measure agreement`: commits of the replicated log, catching up after an absence,
+//! and the cost of idle hosts.
 //!
-//! Control hosts run in this process with their data folders on a real disk and talk over
-//! loopback. A commit is one claim of the ledger: it is answered once it is synced on a majority.
+//! Control hosts run in this process with their data folders on a real disk and connect over
+//! loopback. A commit is one ledger claim, which is answered once a majority has synced it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -19,29 +20,29 @@
 use crate::cmd::operator::OperatorPort;
 use crate::cmd::{CommandError, OutputFormat};
 
-/// How long anything but the measured load may take.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for anything other than the measured load.
+const SETUP_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long one claim may take.
-const CLAIM_WAIT: Duration = Duration::from_secs(10);
+/// Longest wait for the answer to one claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Wait between two looks at a host that catches up.
-const LOOK: Duration = Duration::from_millis(5);
+/// Wait between two checks of a host, and between two attempts to start one.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Streams that send claims while a host is away.
-const FILL_STREAMS: usize = 32;
+/// Streams that send claims while a host is stopped.
+const CATCH_UP_STREAMS: usize = 32;
 
-/// Time after the start of idle hosts that is not measured.
-const IDLE_SETTLE: Duration = Duration::from_secs(3);
+/// Time after the start of idle hosts that is excluded from the measurement.
+const IDLE_SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time for which idle hosts are measured.
-const IDLE_LENGTH: Duration = Duration::from_secs(10);
+/// Time over which idle hosts are measured.
+const IDLE_MEASURED_TIME: Duration = Duration::from_secs(10);
 
-/// Length of one tick of processor time on Linux.
+/// Length of one clock tick of processor time on Linux.
 const MILLIS_PER_TICK: f64 = 10.0;
 
-/// Fields between the name of a process and its processor times.
-const TIMES_BEFORE: usize = 11;
+/// Fields of `/proc/self/stat` between the name of the process and its processor times.
+const FIELDS_BEFORE_TIMES: usize = 11;
 
 const TOKEN: &str = "measurement-only";
 
@@ -69,7 +70,7 @@
     let mut rows = Vec::new();
     for members in [1, 3] {
         let folder = base.path().join(members.to_string());
-        let cluster = HostSet::start(&folder, members)?;
+        let cluster = ControlCluster::start(&folder, members)?;
         for streams in [1, options.streams] {
             rows.push(cluster.load(streams, length)?);
         }
@@ -118,14 +119,14 @@
     );
 }
 
-/// Control hosts in this process.
-struct HostSet {
+/// Control hosts that run in this process.
+struct ControlCluster {
     settings: Vec<DaemonSettings>,
     running: Vec<Option<RunningDaemon>>,
     client: LinkClient,
 }
 
-impl HostSet {
+impl ControlCluster {
     fn start(folder: &Path, members: usize) -> Result<Self, CommandError> {
         let links = briartray_standin::free_addresses(members).map_err(CommandError::unusable)?;
         let control: Vec<ControlPeer> = links
@@ -133,24 +134,24 @@
             .enumerate()
             .map(|(host, link)| ControlPeer { node: node_name(host), link: *link })
             .collect();
-        let cluster = ClusterSettings { token: TOKEN.to_owned(), control };
+        let cluster_settings = ClusterSettings { token: TOKEN.to_owned(), control };
         let settings: Vec<DaemonSettings> =
-            (0..members).map(|host| host_settings(&cluster, folder, host)).collect();
+            (0..members).map(|host| host_settings(&cluster_settings, folder, host)).collect();
         let client = LinkClient::start(
             "measure",
             ClientSettings { token: TOKEN.to_owned(), connect_timeout: Duration::from_secs(1) },
         );
         let client = client.map_err(CommandError::unusable)?;
-        let mut set = Self { settings, running: Vec::new(), client };
+        let mut cluster = Self { settings, running: Vec::new(), client };
         for host in 0..members {
-            set.running.push(None);
-            set.start_host(host)?;
+            cluster.running.push(None);
+            cluster.start_host(host)?;
         }
-        set.leader()?;
-        Ok(set)
+        cluster.leader()?;
+        Ok(cluster)
     }
 
-    /// Starts one host; its ports and its folder may still be held for a moment.
+    /// Starts one host; retries while its ports and data folder are still held by its previous run.
     fn start_host(&mut self, host: usize) -> Result<(), CommandError> {
         let started = Instant::now();
         loop {
@@ -159,10 +160,10 @@
                     self.running[host] = Some(daemon);
                     return Ok(());
                 }
-                Err(error) if started.elapsed() > PATIENCE => {
+                Err(error) if started.elapsed() > SETUP_TIMEOUT => {
                     return Err(CommandError::refused(error));
                 }
-                Err(_) => std::thread::sleep(LOOK),
+                Err(_) => std::thread::sleep(POLL_INTERVAL),
             }
         }
     }
@@ -177,18 +178,18 @@
         self.running.iter().flatten().for_each(RunningDaemon::stop);
     }
 
-    /// The host that leads.
+    /// Waits for a leader and returns its index.
     fn leader(&self) -> Result<usize, CommandError> {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < SETUP_TIMEOUT {
             for host in 0..self.running.len() {
                 if self.status(host).is_some_and(|status| status["role"] == "leader") {
                     return Ok(host);
                 }
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        Err(CommandError::refused("no control host leads; look at the log"))
+        Err(CommandError::refused("no control host became leader; check the log"))
     }
 
     fn status(&self, host: usize) -> Option<Value> {
@@ -197,10 +198,10 @@
         OperatorPort { address: &address, token: None }.get("/v1/status").ok()
     }
 
-    /// Claims on `streams` streams at a time for `length`.
+    /// Sends claims on `streams` concurrent streams for `length`; returns one row of the table.
     fn load(&self, streams: usize, length: Duration) -> Result<Value, CommandError> {
         let end = Instant::now() + length;
-        let mut times = self.claim(streams, &|_| Instant::now() < end)?;
+        let mut times = self.send_claims(streams, &|_| Instant::now() < end)?;
         times.sort_unstable();
         let percentile = |part: usize| {
             let index = (times.len() * part / 100).min(times.len().saturating_sub(1));
@@ -213,23 +214,25 @@
         }))
     }
 
-    /// Sends claims on each stream while `more` says so of the number sent on it.
-    fn claim(
+    /// Sends claims on each stream while `keep_sending` is true for the number sent on it; returns
+    /// the time of each claim.
+    fn send_claims(
         &self,
         streams: usize,
-        more: &(dyn Fn(usize) -> bool + Sync),
+        keep_sending: &(dyn Fn(usize) -> bool + Sync),
     ) -> Result<Vec<Duration>, CommandError> {
         let leader = self.leader()?;
         let address = self.settings[leader].cluster.control[leader].link;
         std::thread::scope(|scope| {
             let senders: Vec<_> = (0..streams)
-                .map(|_| scope.spawn(|| claim_on_stream(&self.client, address, more)))
+                .map(|_| scope.spawn(|| claim_on_stream(&self.client, address, keep_sending)))
                 .collect();
             let mut times = Vec::new();
             for sender in senders {
-                let ended =
-                    sender.join().map_err(|_| CommandError::refused("a stream's thread failed"))?;
-                times.extend(ended?);
+                let result = sender
+                    .join()
+                    .map_err(|_| CommandError::refused("the thread of a stream panicked"))?;
+                times.extend(result?);
             }
             Ok(times)
         })
@@ -239,66 +242,69 @@
 fn claim_on_stream(
     client: &LinkClient,
     address: SocketAddr,
-    more: &(dyn Fn(usize) -> bool + Sync),
+    keep_sending: &(dyn Fn(usize) -> bool + Sync),
 ) -> Result<Vec<Duration>, CommandError> {
     let (writer, reader) = client.open(address, CallKind::Ledger);
     let mut times = Vec::new();
-    while more(times.len()) {
+    while keep_sending(times.len()) {
         let attempt = new_attempt();
         let key = ClaimKey { team: TeamName::new("measure"), key: attempt.to_string() };
         let started = Instant::now();
         writer
             .send(&LedgerRequest::Claim { key, digest: [7; 32], attempt })
             .map_err(CommandError::refused)?;
-        match reader.receive::<LedgerReply>(CLAIM_WAIT).map_err(CommandError::refused)? {
+        match reader.receive::<LedgerReply>(CLAIM_TIMEOUT).map_err(CommandError::refused)? {
             LedgerReply::Claimed => times.push(started.elapsed()),
-            other => return Err(CommandError::refused(format!("a claim got {other:?}"))),
+            other => return Err(CommandError::refused(format!("claim failed: {other:?}"))),
         }
     }
     Ok(times)
 }
 
-/// Time from the start of a host that missed `entries` until it has applied all of them.
+/// Time that a host which missed at least `entries` log entries takes from its start until it has
+/// committed all of them.
 fn measure_catch_up(folder: &Path, entries: usize) -> Result<Value, CommandError> {
-    let mut cluster = HostSet::start(folder, 3)?;
+    let mut cluster = ControlCluster::start(folder, 3)?;
     let late = (cluster.leader()? + 1) % 3;
     cluster.stop_host(late);
-    let each = entries.div_ceil(FILL_STREAMS);
-    cluster.claim(FILL_STREAMS, &|sent| sent < each)?;
+    let per_stream = entries.div_ceil(CATCH_UP_STREAMS);
+    cluster.send_claims(CATCH_UP_STREAMS, &|sent| sent < per_stream)?;
     let leader = cluster.leader()?;
     let commit = |status: Option<Value>| status.and_then(|status| status["commit"].as_u64());
     let newest = commit(cluster.status(leader));
     cluster.start_host(late)?;
     let started = Instant::now();
     while commit(cluster.status(late)) < newest {
-        if started.elapsed() > PATIENCE {
-            return Err(CommandError::refused("the late host did not catch up; look at the log"));
+        if started.elapsed() > SETUP_TIMEOUT {
+            return Err(CommandError::refused(
+                "the restarted host did not catch up; check the log",
+            ));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let time = started.elapsed();
     cluster.stop();
-    Ok(json!({ "entries": each * FILL_STREAMS, "ms": time.as_secs_f64() * 1000.0 }))
+    Ok(json!({ "entries": per_stream * CATCH_UP_STREAMS, "ms": time.as_secs_f64() * 1000.0 }))
 }
 
-/// Processor time in milliseconds that one of three idle hosts uses a second.
+/// Processor time that one of three idle hosts uses, in milliseconds per second.
 fn measure_idle(folder: &Path) -> Result<f64, CommandError> {
-    let cluster = HostSet::start(folder, 3)?;
-    std::thread::sleep(IDLE_SETTLE);
-    let before = processor_ticks();
-    std::thread::sleep(IDLE_LENGTH);
-    let used = processor_ticks() - before;
+    let cluster = ControlCluster::start(folder, 3)?;
+    std::thread::sleep(IDLE_SETTLE_TIME);
+    let before = cpu_ticks();
+    std::thread::sleep(IDLE_MEASURED_TIME);
+    let used = cpu_ticks() - before;
     cluster.stop();
     let millis = used as f64 * MILLIS_PER_TICK;
-    Ok(millis / IDLE_LENGTH.as_secs_f64() / 3.0)
+    Ok(millis / IDLE_MEASURED_TIME.as_secs_f64() / 3.0)
 }
 
-/// Processor time of this process so far, in ticks of the system.
-fn processor_ticks() -> u64 {
+/// Processor time of this process so far, in clock ticks.
+fn cpu_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
-    // The name before it may hold blanks, the parenthesis ends it.
+    // The name of the process may contain spaces; a closing parenthesis ends it.
     let fields = stat.rsplit_once(')').map(|(_, rest)| rest).unwrap_or_default();
-    let times = fields.split_whitespace().skip(TIMES_BEFORE).take(2);
+    let times = fields.split_whitespace().skip(FIELDS_BEFORE_TIMES).take(2);
     times.filter_map(|text| text.parse::<u64>().ok()).sum()
 }
 
--- a/crates/cli/src/cmd/measure/claims.rs
+++ b/crates/cli/src/cmd/measure/claims.rs
@@ -1,4 +1,5 @@
-//! `briartray measure claims`: claims a second, and what a claim adds to a call.
+//! `briartray measure claims`: claims per second, and the latency that a claim adds to a
+//! call.
 
 use std::time::Duration;
 
@@ -23,7 +24,7 @@
     output: OutputFormat,
 }
 
-/// Callers at one time when none are named.
+/// Concurrent callers of each step when the option is not given.
 const DEFAULT_CALLERS: [usize; 4] = [1, 8, 32, 128];
 
 pub(super) fn run(options: &ClaimsOptions) -> Result<(), CommandError> {
@@ -36,7 +37,9 @@
         OutputFormat::Text => print_rows(&rows),
     }
     if rows.iter().any(|row| row.failed > 0) {
-        return Err(CommandError::refused("calls failed; look at the machine's load"));
+        return Err(CommandError::refused(
+            "some calls failed; check whether the machine is overloaded",
+        ));
     }
     Ok(())
 }
--- a/crates/cli/src/cmd/measure/leader.rs
+++ b/crates/cli/src/cmd/measure/leader.rs
@@ -1,5 +1,6 @@
-//! What the decisions of a leader cost before registered endpoints, by entries and by endpoints: one report of an
-//! entry, its answer, one view and one step of the director.
+//! `briartray measure leader`: time that the leader of a fleet of registered endpoints spends on
+//! its decisions, by the number of entries and endpoints: on one report of an entry, the reply to
+//! it, one view and one step of the director.
 
 use std::time::{Duration, Instant};
 
@@ -19,22 +20,25 @@
 
 use super::super::{CommandError, OutputFormat};
 
-/// Entries and endpoints of each size: each of the two grows alone, and both together.
+/// Numbers of entries and endpoints: a base size, each number doubled, both doubled,
+/// both quadrupled.
 const SIZES: [(usize, usize); 5] =
     [(129, 760), (258, 760), (129, 1_520), (258, 1_520), (516, 3_040)];
 
-/// Endpoints of one fabric domain, and the groups that they make: one large one and two small ones.
-const DOMAIN: usize = 19;
-const GROUPS: [(&str, usize); 3] = [("large", 8), ("small", 4), ("small", 4)];
+/// Endpoints in one fabric domain.
+const DOMAIN_ENDPOINTS: usize = 19;
 
-/// Times that each is done.
-const ROUNDS: u32 = 200;
+/// Groups in one fabric domain, each with its model and its number of endpoints.
+const DOMAIN_GROUPS: [(&str, usize); 3] = [("large", 8), ("small", 4), ("small", 4)];
 
-/// Steps in which the director hears of the endpoints and acts, before anything is timed.
-const WARM_UP: usize = 40;
+/// Calls over which each mean time is taken.
+const TIMED_CALLS: u32 = 200;
 
-/// Time between two steps.
-const STEP: Duration = Duration::from_millis(20);
+/// Untimed steps at the start, in which the director probes the endpoints and acts on the results.
+const WARM_UP_STEPS: usize = 40;
+
+/// Time between two timed steps.
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Options)]
 pub(super) struct LeaderOptions {
@@ -44,15 +48,19 @@
     output: OutputFormat,
 }
 
-/// Mean times of one size.
+/// Mean times at one size of the fleet.
 struct LeaderCost {
     entries: usize,
     endpoints: usize,
+    /// Recording one report of an entry.
     report: Duration,
+    /// Collecting the loads of the other entries for the reply.
     loads: Duration,
+    /// Building one view.
     view: Duration,
+    /// One step of the director.
     step: Duration,
-    /// Bytes of the whole view.
+    /// Bytes of the complete encoded view.
     view_bytes: usize,
 }
 
@@ -91,7 +99,7 @@
     }
 }
 
-/// A director with what it knows of a fleet.
+/// A director together with the state and deployment plan of its fleet.
 struct LeaderTrial {
     entries: usize,
     endpoints: usize,
@@ -105,13 +113,13 @@
     fn new(entries: usize, endpoints: usize) -> Self {
         let now = TimePoint(1_000_000);
         let mut state = FleetState::default();
-        (0..endpoints / DOMAIN).for_each(|domain| form_groups(&mut state, domain));
+        (0..endpoints / DOMAIN_ENDPOINTS).for_each(|domain| form_groups(&mut state, domain));
         let mut director = FleetDirector::new(now, &FleetState::default());
-        for heartbeat in beats(&state, endpoints) {
+        for heartbeat in endpoint_heartbeats(&state, endpoints) {
             director.heartbeat(now, heartbeat);
         }
         let mut trial = Self { entries, endpoints, now, plan: plan(), state, director };
-        for _ in 0..WARM_UP {
+        for _ in 0..WARM_UP_STEPS {
             trial.step(Duration::from_millis(100));
         }
         (0..entries).for_each(|entry| trial.report(entry));
@@ -119,19 +127,20 @@
     }
 
     fn run(mut self) -> LeaderCost {
-        let mut turn = 0;
-        let report = timed(|| {
-            turn += 1;
-            self.report(turn % self.entries);
+        let mut calls = 0;
+        let report = mean_time(|| {
+            calls += 1;
+            self.report(calls % self.entries);
         });
-        let asker = self.report_of(0);
-        let loads = timed(|| drop(std::hint::black_box(self.director.loads_of_others(&asker))));
+        let own_report = self.report_of(0);
+        let loads =
+            mean_time(|| drop(std::hint::black_box(self.director.loads_of_others(&own_report))));
         let version = ViewVersion::default();
-        let make =
+        let make_view =
             |trial: &Self| trial.director.view(trial.now, &trial.state, &trial.plan, version);
-        let view = timed(|| drop(std::hint::black_box(make(&self))));
-        let view_bytes = codec::encode(&make(&self).whole()).map_or(0, |bytes| bytes.len());
-        let step = timed(|| self.step(STEP));
+        let view = mean_time(|| drop(std::hint::black_box(make_view(&self))));
+        let view_bytes = codec::encode(&make_view(&self).whole()).map_or(0, |bytes| bytes.len());
+        let step = mean_time(|| self.step(STEP_INTERVAL));
         let (entries, endpoints) = (self.entries, self.endpoints);
         LeaderCost { entries, endpoints, report, loads, view, step, view_bytes }
     }
@@ -141,9 +150,9 @@
         self.director.report(self.now, &report, &self.state);
     }
 
-    /// What an entry tells that has requests on every other group.
+    /// Report of an entry that has requests running on every other group.
     fn report_of(&self, entry: usize) -> EntryReport {
-        let used =
+        let used_groups =
             self.state.groups().keys().enumerate().filter(|(at, _)| (at + entry).is_multiple_of(2));
         let pulse = |(_, group): (usize, &GroupId)| GroupPulse {
             group: *group,
@@ -157,7 +166,7 @@
             plan: Some(1),
             view: ViewVersion::default(),
             settled: true,
-            pulses: used.map(pulse).collect(),
+            pulses: used_groups.map(pulse).collect(),
             demand: Vec::new(),
             serving: true,
             prints: ViewVersion::default(),
@@ -166,7 +175,7 @@
         }
     }
 
-    /// One step, all of whose probes and orders are answered at once.
+    /// Runs one step; its probes and orders are answered immediately.
     fn step(&mut self, time: Duration) {
         self.now = self.now.after(time);
         let output = self.director.step(self.now, &self.state, &self.plan);
@@ -186,21 +195,26 @@
     }
 }
 
-/// Mean time of `work`.
-fn timed(mut work: impl FnMut()) -> Duration {
+/// Mean time of one call of `work`.
+fn mean_time(mut work: impl FnMut()) -> Duration {
     let began = Instant::now();
-    (0..ROUNDS).for_each(|_| work());
-    began.elapsed() / ROUNDS
+    (0..TIMED_CALLS).for_each(|_| work());
+    began.elapsed() / TIMED_CALLS
 }
 
 fn endpoint_id(number: usize) -> IncarnationId {
-    // Spread over the range of names, as random ones are.
+    // Identifiers are spread over the whole range, as random ones are.
     let name = (number as u64).wrapping_mul(2_654_435_761) % 0xff_ffff_ffff;
     IncarnationId::started(&format!("i-{name:010x}"), Some(1))
 }
 
 fn address_of(number: usize) -> String {
-    format!("10.{}.{}.{}:8000", number / DOMAIN % 5, number / DOMAIN, number % DOMAIN)
+    format!(
+        "10.{}.{}.{}:8000",
+        number / DOMAIN_ENDPOINTS % 5,
+        number / DOMAIN_ENDPOINTS,
+        number % DOMAIN_ENDPOINTS
+    )
 }
 
 fn domain_name(domain: usize) -> DomainName {
@@ -208,8 +222,8 @@
 }
 
 fn form_groups(state: &mut FleetState, domain: usize) {
-    let mut next = domain * DOMAIN;
-    for (model, size) in GROUPS {
+    let mut next = domain * DOMAIN_ENDPOINTS;
+    for (model, size) in DOMAIN_GROUPS {
         let host = |number| GroupHost { id: endpoint_id(number), address: address_of(number) };
         let members = (next..next + size).map(host).collect();
         next += size;
@@ -224,19 +238,19 @@
     }
 }
 
-/// First beats of all endpoints, each with its part in the groups of `state`.
-fn beats(state: &FleetState, endpoints: usize) -> Vec<EndpointHeartbeat> {
-    let mut marks: Vec<(IncarnationId, GroupMembership)> = Vec::new();
+/// First heartbeats of all endpoints, each with its membership in the groups of `state`.
+fn endpoint_heartbeats(state: &FleetState, endpoints: usize) -> Vec<EndpointHeartbeat> {
+    let mut memberships: Vec<(IncarnationId, GroupMembership)> = Vec::new();
     for (group, record) in state.groups().iter() {
         for (position, member) in record.members.iter().enumerate() {
             let state = if position == 0 { MemberState::Open } else { MemberState::Ready };
-            marks.push((member.id.clone(), GroupMembership { group: *group, state }));
+            memberships.push((member.id.clone(), GroupMembership { group: *group, state }));
         }
     }
-    marks.sort_by(|(a, _), (b, _)| a.cmp(b));
+    memberships.sort_by(|(a, _), (b, _)| a.cmp(b));
     let heartbeat = |number: usize| {
         let id = endpoint_id(number);
-        let found = marks.binary_search_by(|(known, _)| known.cmp(&id)).ok();
+        let found = memberships.binary_search_by(|(known, _)| known.cmp(&id)).ok();
         EndpointHeartbeat {
             service: ServiceName::new("desk"),
             address: address_of(number),
@@ -246,9 +260,9 @@
             cold_ms: 0,
             sequence: 1,
             report: EndpointReport {
-                domain: Some(domain_name(number / DOMAIN)),
+                domain: Some(domain_name(number / DOMAIN_ENDPOINTS)),
                 staged: vec!["large".to_owned()],
-                mark: found.map(|at| marks[at].1.clone()),
+                mark: found.map(|at| memberships[at].1.clone()),
                 pace: Some(1.0),
                 busy: Some(false),
             },
--- a/crates/cli/src/cmd/measure/leases.rs
+++ b/crates/cli/src/cmd/measure/leases.rs
@@ -1,4 +1,5 @@
-//! `briartray measure leases`: what the terms of a rules lease cost when something is lost.
+//! `briartray measure leases`: what each policy for holding rules costs when hosts are lost or
+//! paused.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,11 +15,11 @@
 use crate::cmd::{CommandError, OutputFormat};
 use crate::trial::{ProcessFleet, ProcessSignal, TrialError, TrialPlan, ask_desk, post_json};
 
-/// Requests sent at an entry right after it wakes.
-const WOKEN_REQUESTS: usize = 100;
+/// Requests sent to an entry right after it resumes.
+const RESUMED_REQUESTS: usize = 100;
 
-/// Longest that an entry stands still; no longer than an operator's call may take.
-const STANDSTILL: Duration = Duration::from_secs(16);
+/// Longest pause of an entry; not longer than an operator's call may take.
+const MAX_PAUSE: Duration = Duration::from_secs(16);
 
 #[derive(Debug, Options)]
 pub(super) struct LeasesOptions {
@@ -32,7 +33,7 @@
     output: OutputFormat,
 }
 
-/// One way to hold rules, with the number of control hosts.
+/// One policy for holding rules, with the number of control hosts.
 #[derive(Debug, Clone, Copy)]
 struct HoldCase {
     name: &'static str,
@@ -74,19 +75,19 @@
     },
 ];
 
-/// What one case costs.
+/// Results of one case.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct HoldRow {
     name: &'static str,
-    /// Requests while two control hosts are lost.
+    /// Requests sent while two control hosts are down.
     sent: u64,
-    /// Of these, refused.
+    /// Requests among `sent` that were refused.
     refused: u64,
-    /// Seconds until a change is answered while an entry stands still.
+    /// Seconds until a rule change is answered while an entry is paused.
     answered_seconds: f64,
     /// Whether that answer was `accepted`.
     accepted: bool,
-    /// Requests that the woken entry let in under the rules that were replaced.
+    /// Requests that the resumed entry admitted under the replaced rules.
     stale: usize,
 }
 
@@ -104,12 +105,12 @@
 }
 
 fn measure(case: HoldCase, options: &LeasesOptions) -> Result<HoldRow, TrialError> {
-    let (sent, refused) = lose_two_hosts(case, options)?;
-    let (answered_seconds, accepted, stale) = stand_still(case)?;
+    let (sent, refused) = kill_two_hosts(case, options)?;
+    let (answered_seconds, accepted, stale) = change_while_paused(case)?;
     Ok(HoldRow { name: case.name, sent, refused, answered_seconds, accepted, stale })
 }
 
-fn plan_of(case: HoldCase) -> Result<TrialPlan, TrialError> {
+fn trial_plan(case: HoldCase) -> Result<TrialPlan, TrialError> {
     let programs =
         program_folder().map_err(|error| TrialError::Load { detail: error.to_string() })?;
     Ok(TrialPlan::new(&programs)
@@ -120,9 +121,9 @@
         .unconfirmed(case.unconfirmed))
 }
 
-/// Loses two control hosts under load; returns requests sent and refused.
-fn lose_two_hosts(case: HoldCase, options: &LeasesOptions) -> Result<(u64, u64), TrialError> {
-    let fleet = ProcessFleet::start(&plan_of(case)?)?;
+/// Kills two control hosts, then runs a load; returns the requests sent and refused.
+fn kill_two_hosts(case: HoldCase, options: &LeasesOptions) -> Result<(u64, u64), TrialError> {
+    let fleet = ProcessFleet::start(&trial_plan(case)?)?;
     for host in &fleet.controls[..2] {
         host.signal(ProcessSignal::Kill);
     }
@@ -135,42 +136,43 @@
     Ok((report.sent, report.told_not_run))
 }
 
-/// Changes the rules while an entry stands still; returns how long the answer took, whether it was
-/// `accepted`, and how many callers the woken entry let in under the old rules.
-fn stand_still(case: HoldCase) -> Result<(f64, bool, usize), TrialError> {
-    let fleet = ProcessFleet::start(&plan_of(case)?)?;
+/// Changes the rules while an entry is paused; returns the seconds until the answer, whether it was
+/// `accepted`, and how many requests the resumed entry admitted under the old rules.
+fn change_while_paused(case: HoldCase) -> Result<(f64, bool, usize), TrialError> {
+    let fleet = ProcessFleet::start(&trial_plan(case)?)?;
     let entry = fleet.entry_addresses()[0];
     ask_desk(entry, 1)?;
     fleet.entries[0].signal(ProcessSignal::Stop);
     let started = Instant::now();
-    let accepted = forbid_all(&fleet, started)?;
+    let accepted = apply_deny_all(&fleet, started)?;
     let answered = started.elapsed();
     fleet.entries[0].signal(ProcessSignal::Continue);
-    let stale = (0..WOKEN_REQUESTS)
+    let stale = (0..RESUMED_REQUESTS)
         .filter(|_| ask_desk(entry, 1).is_ok_and(|(status, _)| status == 200))
         .count();
     Ok((answered.as_secs_f64(), accepted, stale))
 }
 
-/// Applies rules that let nobody in, at whichever control host leads.
-fn forbid_all(fleet: &ProcessFleet, started: Instant) -> Result<bool, TrialError> {
+/// Applies rules that admit no request, trying each control host until the leader takes them;
+/// returns whether the change was `accepted`.
+fn apply_deny_all(fleet: &ProcessFleet, started: Instant) -> Result<bool, TrialError> {
     let text = "services: [{ name: desk, replicas: 2 }]\nrules:\n- rule: nobody\n  \
                 then: { admit: { allow: false } }\n";
     let body = json!({ "change": format!("{:032x}", 1), "text": text });
     loop {
         for operator in fleet.operators() {
-            let (status, _) = apply(*operator, &body)?;
+            let (status, _) = post_rules(*operator, &body)?;
             if status == 200 || status == 202 {
                 return Ok(status == 200);
             }
         }
-        if started.elapsed() > STANDSTILL {
+        if started.elapsed() > MAX_PAUSE {
             return Ok(false);
         }
     }
 }
 
-fn apply(
+fn post_rules(
     operator: SocketAddr,
     body: &serde_json::Value,
 ) -> Result<(u16, serde_json::Value), TrialError> {
--- a/crates/cli/src/cmd/measure/mod.rs
+++ b/crates/cli/src/cmd/measure/mod.rs
@@ -1,4 +1,4 @@
-//! `briartray measure`: measurements that stand in the design notes, one module each.
+//! `briartray measure`: the measurements quoted in the design notes, one module each.
 
 mod affinity;
 mod agreement;
@@ -68,6 +68,8 @@
         Some(MeasureCommand::Leases(options)) => leases::run(options),
         Some(MeasureCommand::Leader(options)) => leader::run(options),
         Some(MeasureCommand::Capacity(options)) => capacity::run(options),
-        None => Err(CommandError::unusable("name a measurement; see briartray measure --help")),
+        None => {
+            Err(CommandError::unusable("missing measurement name; see briartray measure --help"))
+        }
     }
 }
--- a/crates/cli/src/cmd/measure/outcomes.rs
+++ b/crates/cli/src/cmd/measure/outcomes.rs
@@ -1,4 +1,5 @@
-//! `briartray measure outcomes`: what callers are told under faults, against what truly ran.
+//! `briartray measure outcomes`: outcomes reported to callers under faults, compared with what was
+//! actually executed.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -22,11 +23,11 @@
 }
 
 pub(super) fn run(options: &OutcomesOptions) -> Result<(), CommandError> {
-    let faults = chosen(options.fault.as_deref())?;
+    let faults = selected_faults(options.fault.as_deref())?;
     let programs = program_folder()?;
     let length = Duration::from_secs_f64(options.seconds);
     if options.output == OutputFormat::Text {
-        print_head();
+        print_header();
     }
     let mut rows = Vec::new();
     for fault in faults {
@@ -42,24 +43,24 @@
     if rows.iter().all(OutcomeRow::is_clean) {
         return Ok(());
     }
-    Err(CommandError::refused("a request was lost, doubled, crossed or told an untruth"))
+    Err(CommandError::refused("a request was lost, run twice, given a wrong answer or misreported"))
 }
 
-fn chosen(name: Option<&str>) -> Result<Vec<TrialFault>, CommandError> {
+fn selected_faults(name: Option<&str>) -> Result<Vec<TrialFault>, CommandError> {
     let Some(name) = name else { return Ok(TrialFault::ALL.to_vec()) };
     let known: Vec<&str> = TrialFault::ALL.iter().map(|fault| fault.name()).collect();
-    TrialFault::parse(name)
-        .map(|fault| vec![fault])
-        .ok_or_else(|| CommandError::unusable(format!("use one of {}", known.join(", "))))
+    TrialFault::parse(name).map(|fault| vec![fault]).ok_or_else(|| {
+        CommandError::unusable(format!("unknown fault; use one of {}", known.join(", ")))
+    })
 }
 
-/// Folder of this program, where the daemon is built as well.
+/// Folder of the running program, where the daemon is built too.
 pub(super) fn program_folder() -> Result<PathBuf, CommandError> {
     let program = std::env::current_exe().map_err(CommandError::unusable)?;
     Ok(program.parent().map(PathBuf::from).unwrap_or_default())
 }
 
-fn print_head() {
+fn print_header() {
     println!(
         "{:<30} {:>6} {:>8} {:>8} {:>8} {:>5} {:>8} {:>8} {:>7} {:>9}",
         "fault",
--- a/crates/cli/src/cmd/measure/overhead.rs
+++ b/crates/cli/src/cmd/measure/overhead.rs
@@ -1,4 +1,4 @@
-//! `briartray measure overhead`: the same load through entry and agent and straight to the engine.
+//! `briartray measure overhead`: the same load through entry and agent, and directly to the engine.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use crate::cmd::{CommandError, OutputFormat};
 use crate::demo::{DemoFleet, DemoPlan};
 
-/// How long the fleet may take to be ready.
-const READY_WAIT: Duration = Duration::from_secs(30);
+/// Longest wait for the fleet to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Options)]
 pub(super) struct OverheadOptions {
@@ -35,8 +35,8 @@
         ..DemoPlan::default()
     };
     let fleet = DemoFleet::start(&demo).map_err(CommandError::unusable)?;
-    if !fleet.wait_until_ready(READY_WAIT) {
-        return Err(CommandError::refused("no replica became whole; look at the log"));
+    if !fleet.wait_until_ready(READY_TIMEOUT) {
+        return Err(CommandError::refused("no replica became ready; check the log"));
     }
     let first = fleet.engine_addresses()[0];
     let length = Duration::from_secs_f64(options.seconds);
@@ -44,29 +44,33 @@
         .pace(options.rate, length)
         .model("desk", options.tokens)
         .shares(1.0, 0.0);
-    let direct = LoadPlan { address: first, seed: 2, ..plan.clone() };
-    // Both paths run at the same time, so that whatever else the machine does falls on both.
-    let straight = std::thread::spawn(move || run_load(&direct, |_, _| {}));
-    let through = run_load(&plan, |_, _| {}).map_err(CommandError::refused)?;
-    let straight = straight.join().map_err(|_| CommandError::refused("the direct load failed"))?;
-    let straight = straight.map_err(CommandError::refused)?;
+    let direct_plan = LoadPlan { address: first, seed: 2, ..plan.clone() };
+    // Both paths run at the same time, so that other load on the machine affects both equally.
+    let direct = std::thread::spawn(move || run_load(&direct_plan, |_, _| {}));
+    let via_entry = run_load(&plan, |_, _| {}).map_err(CommandError::refused)?;
+    let direct = direct
+        .join()
+        .map_err(|_| CommandError::refused("the thread of the direct load panicked"))?;
+    let direct = direct.map_err(CommandError::refused)?;
     fleet.stop();
     match options.output {
-        OutputFormat::Json => println!("{}", json!({ "through": through, "direct": straight })),
-        OutputFormat::Text => print_both(&through, &straight),
+        OutputFormat::Json => println!("{}", json!({ "through": via_entry, "direct": direct })),
+        OutputFormat::Text => print_reports(&via_entry, &direct),
     }
-    if !(through.is_clean() && straight.is_clean()) {
-        return Err(CommandError::refused("an answer was lost, crossed or cut short"));
+    if !(via_entry.is_clean() && direct.is_clean()) {
+        return Err(CommandError::refused(
+            "an answer was lost, truncated or delivered to the wrong request",
+        ));
     }
     Ok(())
 }
 
-fn print_both(through: &LoadReport, direct: &LoadReport) {
+fn print_reports(via_entry: &LoadReport, direct: &LoadReport) {
     println!("{:<26} {:>8} {:>9} {:>9}", "time in ms", "count", "p50", "p99");
     print_line("first token, direct", &direct.first_token);
-    print_line("first token, through", &through.first_token);
+    print_line("first token, through", &via_entry.first_token);
     print_line("whole answer, direct", &direct.whole_answer);
-    print_line("whole answer, through", &through.whole_answer);
+    print_line("whole answer, through", &via_entry.whole_answer);
 }
 
 fn print_line(name: &str, times: &LatencySummary) {
--- a/crates/cli/src/cmd/measure/overload.rs
+++ b/crates/cli/src/cmd/measure/overload.rs
@@ -1,7 +1,8 @@
-//! `briartray measure overload`: useful answers as the load rises over what the replicas can do.
+//! `briartray measure overload`: useful answers as the load rises past the capacity of the
+//! replicas.
 //!
-//! Two fleets run at the same time under the same load, one with admission and one that hands
-//! everything on, so that whatever else the machine does falls on both.
+//! Two fleets run at the same time under the same load, one with admission control and one that
+//! forwards every request, so that other load on the machine affects both equally.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,23 +15,23 @@
 use crate::cmd::{CommandError, OutputFormat};
 use crate::demo::{DemoFleet, DemoPlan};
 
-/// How long the fleet may take to be ready.
-const READY_WAIT: Duration = Duration::from_secs(30);
+/// Longest wait for a fleet to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Loads, as multiples of what the replicas can do.
-const MULTIPLES: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 4.0];
+/// Loads, as multiples of the capacity of the replicas.
+const LOAD_MULTIPLES: [f64; 5] = [0.5, 1.0, 1.5, 2.0, 4.0];
 
-/// Load of the small team, as a part of what the replicas can do.
-const SMALL_SHARE: f64 = 0.1;
+/// Load of the small team, as a share of the capacity of the replicas.
+const SMALL_TEAM_SHARE: f64 = 0.1;
 
-/// Time that callers give their requests.
+/// Deadline of every request.
 const DEADLINE_MS: u32 = 2000;
 
-/// Slots that stand for no limit at all.
+/// Number of slots or queue places too large to be reached.
 const NO_LIMIT: u32 = 100_000;
 
-/// Time between two loads, in which what is left of the first ends.
-const PAUSE: Duration = Duration::from_secs(3);
+/// Wait for all replicas to become ready, and after each load for its last requests to end.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 #[derive(Debug, Options)]
 pub(super) struct OverloadOptions {
@@ -54,20 +55,20 @@
 }
 
 plain_value! {
-    /// What one team got under one load.
+    /// Results of one team under one load.
     struct TeamRow {
         offered: f64,
-        /// Answered before the deadline, per second.
+        /// Requests per second that were answered before the deadline.
         useful: f64,
         first_p50_ms: f64,
         first_p99_ms: f64,
         refused: u64,
-        /// Told that the deadline passed, or cut.
+        /// Requests that ended with a passed deadline or a broken stream.
         late: u64,
         lost: u64,
     }
 
-    /// One load on one fleet.
+    /// Results of one load on one fleet.
     struct LoadRow {
         multiple: f64,
         admission: bool,
@@ -78,26 +79,30 @@
 }
 
 pub(super) fn run(options: &OverloadOptions) -> Result<(), CommandError> {
-    let capacity = full_rate(options);
-    let (ours, naive) = std::thread::scope(|scope| {
-        let naive = scope.spawn(|| run_fleet(options, capacity, false));
-        let ours = run_fleet(options, capacity, true);
-        (ours, naive.join())
+    let capacity = replica_capacity(options);
+    let (with_admission, without_admission) = std::thread::scope(|scope| {
+        let without_admission = scope.spawn(|| run_fleet(options, capacity, false));
+        let with_admission = run_fleet(options, capacity, true);
+        (with_admission, without_admission.join())
     });
-    let naive = naive.map_err(|_| CommandError::refused("the load without admission failed"))?;
-    let rows: Vec<LoadRow> = ours?.into_iter().chain(naive?).collect();
+    let without_admission = without_admission.map_err(|_| {
+        CommandError::refused("the thread of the fleet without admission control panicked")
+    })?;
+    let rows: Vec<LoadRow> = with_admission?.into_iter().chain(without_admission?).collect();
     match options.output {
         OutputFormat::Json => println!("{}", json!({ "capacity": capacity, "rows": rows })),
         OutputFormat::Text => print_rows(capacity, &rows),
     }
     if !rows.iter().all(|row| row.clean || !row.admission) {
-        return Err(CommandError::refused("an answer was lost, crossed or cut short"));
+        return Err(CommandError::refused(
+            "an answer was lost, truncated or delivered to the wrong request",
+        ));
     }
     Ok(())
 }
 
-/// Requests a second that two replicas can answer.
-fn full_rate(options: &OverloadOptions) -> f64 {
+/// Requests per second that the two replicas can answer.
+fn replica_capacity(options: &OverloadOptions) -> f64 {
     let answer_ms = f64::from(options.tokens) * options.step_ms as f64;
     2.0 * f64::from(options.slots) * 1000.0 / answer_ms
 }
@@ -112,38 +117,39 @@
         services: 0,
         batch: options.slots as usize,
         step: Duration::from_millis(options.step_ms),
-        rules: rules(if admission { options.slots } else { NO_LIMIT }, admission),
+        rules: rule_document(if admission { options.slots } else { NO_LIMIT }, admission),
         ..DemoPlan::default()
     };
     let fleet = DemoFleet::start(&demo).map_err(CommandError::unusable)?;
-    if !fleet.wait_until_ready(READY_WAIT) {
-        return Err(CommandError::refused("no replica became whole; look at the log"));
+    if !fleet.wait_until_ready(READY_TIMEOUT) {
+        return Err(CommandError::refused("no replica became ready; check the log"));
     }
-    // Both replicas must be whole, or half the capacity is measured.
-    std::thread::sleep(PAUSE);
+    // Unless both replicas are ready, only half the capacity is measured.
+    std::thread::sleep(SETTLE_TIME);
     let mut rows = Vec::new();
-    for multiple in MULTIPLES {
-        let large = (multiple - SMALL_SHARE) * capacity;
-        let small = SMALL_SHARE * capacity;
+    for multiple in LOAD_MULTIPLES {
+        let large = (multiple - SMALL_TEAM_SHARE) * capacity;
+        let small = SMALL_TEAM_SHARE * capacity;
         let address = fleet.caller_address();
         let engines = fleet.engine_addresses();
         let (large, small) = std::thread::scope(|scope| {
-            let large = scope.spawn(|| send(options, address, &engines, "large", large));
-            let small = send(options, address, &engines, "small", small);
+            let large = scope.spawn(|| run_team_load(options, address, &engines, "large", large));
+            let small = run_team_load(options, address, &engines, "small", small);
             (large.join(), small)
         });
-        let large = large.map_err(|_| CommandError::refused("the large team's load failed"))??;
+        let large = large
+            .map_err(|_| CommandError::refused("the thread of the large team's load panicked"))??;
         let small = small?;
         let clean = large.is_clean() && small.is_clean();
         let (large, small) = (team_row(options, &large), team_row(options, &small));
         rows.push(LoadRow { multiple, admission, large, small, clean });
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(SETTLE_TIME);
     }
     fleet.stop();
     Ok(rows)
 }
 
-fn send(
+fn run_team_load(
     options: &OverloadOptions,
     address: SocketAddr,
     engines: &[SocketAddr],
@@ -160,10 +166,10 @@
 }
 
 fn team_row(options: &OverloadOptions, report: &LoadReport) -> TeamRow {
-    let late = |code: &str| code == "deadline_passed" || code.starts_with("stream_");
+    let is_late = |code: &str| code == "deadline_passed" || code.starts_with("stream_");
     let count = |wanted: bool| {
         let ended = report.outcomes.iter().filter(|outcome| outcome.code != "answered");
-        ended.filter(|outcome| late(&outcome.code) == wanted).map(|outcome| outcome.count).sum()
+        ended.filter(|outcome| is_late(&outcome.code) == wanted).map(|outcome| outcome.count).sum()
     };
     TeamRow {
         offered: report.sent as f64 / options.seconds,
@@ -176,7 +182,7 @@
     }
 }
 
-fn rules(slots: u32, admission: bool) -> String {
+fn rule_document(slots: u32, admission: bool) -> String {
     let queue = if admission { 256 } else { NO_LIMIT };
     format!(
         "services:\n  - name: desk\n    kind: engine\n    hosts_per_replica: 2\n    replicas: 2\n    \
--- a/crates/cli/src/cmd/measure/planner.rs
+++ b/crates/cli/src/cmd/measure/planner.rs
@@ -1,5 +1,5 @@
-//! The planner beside the naive one, for both customers' weightings, and the time and memory of
-//! one round at the size that the design aims for.
+//! `briartray measure planner`: the planner compared with the naive one under the cost weightings
+//! of both customers, and the time and memory of one planning round at the design size.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,18 +16,22 @@
 
 use super::super::{CommandError, OutputFormat};
 
-/// Weightings by customer: downtime of a group-second, then of a stranded accelerator-second.
+/// Cost weightings of the two customers: name, cost of one group-second of downtime, cost of one
+/// stranded accelerator-second.
 const WEIGHTINGS: [(&str, f64, f64); 2] =
     [("downtime first", 1000.0, 1.0), ("stranded first", 10.0, 1.0)];
 
+/// Traces that are always replayed.
 const SMALL_SHAPES: [TraceShape; 2] = [TraceShape::Parkland, TraceShape::Hollis];
+
+/// Traces that are replayed with `--large`.
 const LARGE_SHAPES: [TraceShape; 3] = [TraceShape::Design, TraceShape::Large, TraceShape::Mixed];
 
-/// Rounds that are timed.
+/// Timed rounds of each kind.
 const TIMED_ROUNDS: u32 = 50;
 
-/// Time between two rounds that are timed.
-const ROUND_GAP: Duration = Duration::from_secs(1);
+/// Simulated time between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Options)]
 pub(super) struct PlannerOptions {
@@ -45,7 +49,7 @@
     output: OutputFormat,
 }
 
-/// One replay of the table.
+/// One replay, which is one row of the table.
 struct TableRow {
     shape: TraceShape,
     weighting: &'static str,
@@ -54,7 +58,7 @@
 
 pub(super) fn run(options: &PlannerOptions) -> Result<(), CommandError> {
     if options.step {
-        print_steps(options.output);
+        print_round_costs(options.output);
         return Ok(());
     }
     let mut shapes = SMALL_SHAPES.to_vec();
@@ -154,17 +158,19 @@
     }
 }
 
-/// Time and memory of one round.
-struct StepFigures {
+/// Time and memory of a planning round on one fleet.
+struct RoundCost {
     hosts: usize,
     groups: usize,
+    /// Median time of a round without changes.
     quiet: Duration,
+    /// Median time of a round after the loss of a host.
     loss: Duration,
     view_kb: i64,
     planner_kb: i64,
 }
 
-fn print_steps(output: OutputFormat) {
+fn print_round_costs(output: OutputFormat) {
     let steps = [TraceShape::Design, TraceShape::Large].map(|shape| (shape, time_rounds(shape)));
     if output == OutputFormat::Text {
         println!(
@@ -192,15 +198,16 @@
     }
 }
 
-/// Times rounds of planning on a formed fleet: quiet ones, and ones that see a host lost.
-fn time_rounds(shape: TraceShape) -> StepFigures {
+/// Times planning rounds on a fleet whose groups are formed, without changes and after the loss of
+/// a host.
+fn time_rounds(shape: TraceShape) -> RoundCost {
     let trace = generate_trace(shape, 1);
     let before = resident_kb();
-    let mut fleet = arrived(&trace);
+    let mut fleet = fleet_at_start(&trace);
     let view_kb = resident_kb() - before;
     let before = resident_kb();
     let mut planner = GroupPlanner::with_preparation();
-    form_all(&mut fleet, &mut planner);
+    form_all_groups(&mut fleet, &mut planner);
     let planner_kb = resident_kb() - before;
     let mut quiet = Vec::new();
     let mut loss = Vec::new();
@@ -213,10 +220,10 @@
     }
     let (hosts, groups) = (fleet.view().hosts.len(), fleet.view().groups.len());
     let (quiet, loss) = (median(quiet), median(loss));
-    StepFigures { hosts, groups, quiet, loss, view_kb, planner_kb }
+    RoundCost { hosts, groups, quiet, loss, view_kb, planner_kb }
 }
 
-fn arrived(trace: &HostTrace) -> ReplayFleet {
+fn fleet_at_start(trace: &HostTrace) -> ReplayFleet {
     let mut fleet = ReplayFleet::new(&trace.header);
     for line in trace.lines.iter().take_while(|line| line.at_ms == 0) {
         fleet.apply(&line.event);
@@ -224,16 +231,16 @@
     fleet
 }
 
-fn form_all(fleet: &mut ReplayFleet, planner: &mut GroupPlanner) {
+fn form_all_groups(fleet: &mut ReplayFleet, planner: &mut GroupPlanner) {
     let end = fleet.now().after(Duration::from_secs(400));
     while fleet.now() < end {
         timed_round(fleet, planner);
     }
 }
 
-/// Lets a second pass and plans; returns the time in the planner.
+/// Advances the fleet by [`ROUND_INTERVAL`] and plans; returns the time spent in the planner.
 fn timed_round(fleet: &mut ReplayFleet, planner: &mut GroupPlanner) -> Duration {
-    let end = fleet.now().after(ROUND_GAP);
+    let end = fleet.now().after(ROUND_INTERVAL);
     while let Some(change) = fleet.next_change().filter(|change| *change < end) {
         fleet.advance(change);
     }
@@ -250,7 +257,7 @@
     times[times.len() / 2]
 }
 
-/// Resident memory of this process; zero where the system does not tell.
+/// Resident memory of this process; zero where the system does not report it.
 fn resident_kb() -> i64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
--- a/crates/cli/src/cmd/measure/streams.rs
+++ b/crates/cli/src/cmd/measure/streams.rs
@@ -1,4 +1,5 @@
-//! `briartray measure streams`: what open streams cost the entry and the agents, as real processes.
+//! `briartray measure streams`: memory and processor time that open streams cost the entry and the
+//! agents, each run as a process of its own.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,17 +13,17 @@
 use crate::cmd::{CommandError, OutputFormat};
 use crate::trial::{ProcessFleet, TrialPlan};
 
-/// Engines, which share the streams.
+/// Engines over which the streams are distributed.
 const ENGINES: usize = 4;
 
-/// Time over which the streams are opened.
-const OPENING: Duration = Duration::from_secs(4);
+/// Time over which all streams are opened.
+const OPENING_TIME: Duration = Duration::from_secs(4);
 
-/// Time of one engine step: slow, so that open streams are measured and not their tokens.
-const STEP: Duration = Duration::from_millis(100);
+/// Time of one engine step: slow, so that the cost of open streams outweighs that of their tokens.
+const ENGINE_STEP: Duration = Duration::from_millis(100);
 
-/// Steps that every stream lasts: long enough that the last one opens while the first one runs.
-const TOKENS: u32 = 100;
+/// Tokens of each stream, one a step: enough that the last stream opens before the first one ends.
+const STREAM_TOKENS: u32 = 100;
 
 #[derive(Debug, Options)]
 pub(super) struct StreamsOptions {
@@ -35,7 +36,7 @@
 }
 
 plain_value! {
-    /// What the streams cost one kind of process.
+    /// Cost of the streams for all processes of one role.
     struct StreamCost {
         role: String,
         idle_kb: u64,
@@ -45,27 +46,27 @@
     }
 }
 
-/// Usage of one kind of process, before and at the most.
-struct RoleWatch {
+/// Usage of all processes of one role: before the streams, and the peak of their memory.
+struct RoleUsage {
     role: &'static str,
     processes: Vec<u32>,
     idle: ProcessUsage,
     peak_bytes: u64,
 }
 
-impl RoleWatch {
+impl RoleUsage {
     fn new(role: &'static str, processes: Vec<u32>) -> Self {
-        let idle = sum_usage(&processes);
+        let idle = total_usage(&processes);
         Self { role, processes, idle, peak_bytes: idle.resident_bytes }
     }
 
-    fn look(&mut self) {
-        self.peak_bytes = self.peak_bytes.max(sum_usage(&self.processes).resident_bytes);
+    fn sample_memory(&mut self) {
+        self.peak_bytes = self.peak_bytes.max(total_usage(&self.processes).resident_bytes);
     }
 
     fn cost(&self, streams: u64) -> StreamCost {
         let grown = self.peak_bytes.saturating_sub(self.idle.resident_bytes);
-        let used = sum_usage(&self.processes).cpu.saturating_sub(self.idle.cpu);
+        let used = total_usage(&self.processes).cpu.saturating_sub(self.idle.cpu);
         StreamCost {
             role: self.role.to_owned(),
             idle_kb: self.idle.resident_bytes / 1024,
@@ -76,7 +77,7 @@
     }
 }
 
-fn sum_usage(processes: &[u32]) -> ProcessUsage {
+fn total_usage(processes: &[u32]) -> ProcessUsage {
     let mut sum = ProcessUsage::default();
     for usage in processes.iter().filter_map(|id| read_usage(*id)) {
         sum.cpu += usage.cpu;
@@ -88,19 +89,19 @@
 pub(super) fn run(options: &StreamsOptions) -> Result<(), CommandError> {
     let fleet = start_fleet(options.streams)?;
     let address = fleet.entry_addresses()[0];
-    // The first requests pay for what every process sets up only once.
+    // The first requests include one-time setup in every process, so they are not measured.
     let warm = LoadPlan::new(address).pace(40.0, Duration::from_secs(1)).model("desk", 2);
     run_load(&warm, |_, _| {}).map_err(CommandError::refused)?;
     let agents = fleet.agents.iter().map(|agent| agent.agent.id()).collect();
-    let mut entry = RoleWatch::new("entry", vec![fleet.entries[0].id()]);
-    let mut agents = RoleWatch::new("agents", agents);
+    let mut entry = RoleUsage::new("entry", vec![fleet.entries[0].id()]);
+    let mut agents = RoleUsage::new("agents", agents);
     let plan = LoadPlan::new(address)
-        .pace(f64::from(options.streams) / OPENING.as_secs_f64(), OPENING)
-        .model("desk", TOKENS)
+        .pace(f64::from(options.streams) / OPENING_TIME.as_secs_f64(), OPENING_TIME)
+        .model("desk", STREAM_TOKENS)
         .shares(1.0, 0.0);
     let report = run_load(&plan, |_, _| {
-        entry.look();
-        agents.look();
+        entry.sample_memory();
+        agents.sample_memory();
     });
     let report = report.map_err(CommandError::refused)?;
     let costs = [entry.cost(report.most_open), agents.cost(report.most_open)];
@@ -117,7 +118,7 @@
     if report.answered == report.sent && report.is_clean() {
         return Ok(());
     }
-    Err(CommandError::refused("a stream was not answered; the figures are of no use"))
+    Err(CommandError::refused("a stream was not answered; the figures are not valid"))
 }
 
 fn start_fleet(streams: u32) -> Result<ProcessFleet, CommandError> {
@@ -128,7 +129,8 @@
          teams: [{{ name: default }}]\n\
          rules:\n  - rule: everyone\n    then: {{ admit: {{}}, retry: {{}}, place: {{}} }}\n"
     );
-    let plan = TrialPlan::new(&programs).endpoints(ENGINES, 0).engine_step(STEP).rules(&document);
+    let plan =
+        TrialPlan::new(&programs).endpoints(ENGINES, 0).engine_step(ENGINE_STEP).rules(&document);
     ProcessFleet::start(&plan).map_err(CommandError::refused)
 }
 
