--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Response bodies sent to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,35 +8,35 @@
 use snafu::Snafu;
 use tokio::sync::mpsc;
 
-/// Events that may wait for a caller who reads slowly.
-const STREAM_QUEUE: usize = 16;
+/// Capacity of a streamed body's channel, in parts; a slow reader blocks the sender beyond it.
+const STREAM_QUEUE_PARTS: usize = 16;
 
-/// The stream ends before its answer does.
+/// Error that ends a streamed body before the response is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the answer broke off; it must not look complete"))]
+#[snafu(display("the response stream was cut off before its end"))]
 pub struct StreamCut;
 
-/// Feeds a stream of events.
+/// Sending half of a streamed body.
 pub type BodySender = mpsc::Sender<Result<Bytes, StreamCut>>;
 
-/// A whole body, or one that comes in parts.
+/// Response body: in one piece or streamed.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// Complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
-    /// Parts as they come; ends without its end mark when one of them is an error.
+    /// Streamed parts; an error aborts the connection without the final chunk.
     Parts(mpsc::Receiver<Result<Bytes, StreamCut>>),
 }
 
 impl AnswerBody {
-    /// A body of `bytes`.
+    /// Creates a body of `bytes`.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
 
-    /// A body in parts and its sender.
+    /// Creates a streamed body and its sender.
     pub fn parts() -> (BodySender, Self) {
-        let (sender, receiver) = mpsc::channel(STREAM_QUEUE);
+        let (sender, receiver) = mpsc::channel(STREAM_QUEUE_PARTS);
         (sender, Self::Parts(receiver))
     }
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, and one request on it.
+//! Client connection to an endpoint, with one request at a time.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -15,27 +15,28 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Time to connect: hosts are a few milliseconds apart, and one that is down does not answer.
+/// Connect timeout: round trips between hosts take a few milliseconds, and a host that is down
+/// does not reply at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Largest whole body taken from an endpoint, in bytes.
-const MAX_WHOLE_BODY: usize = 8 * 1024 * 1024;
+/// Largest response body that is buffered, in bytes.
+const MAX_BUFFERED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a request has no answer.
+/// Reason why a request got no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum SendFailure {
-    /// There is no connection; nothing was sent.
-    #[snafu(display("no connection could be made"))]
+    /// No connection was established; nothing was sent.
+    #[snafu(display("cannot connect to the endpoint"))]
     NotConnected,
-    /// The connection ended before anything of the request was sent.
-    #[snafu(display("the connection was closed before the request left"))]
+    /// The connection closed before any byte of the request was sent.
+    #[snafu(display("the connection was closed before the request was sent"))]
     NotSent,
-    /// The connection ended after the request may have left.
-    #[snafu(display("the connection broke before the answer was whole"))]
+    /// The connection failed after the request may have been sent, so it may have run.
+    #[snafu(display("the connection failed before the response was complete"))]
     Broken,
 }
 
-/// An open connection that serves one request at a time.
+/// Open HTTP/1.1 connection to an endpoint.
 #[derive(Debug)]
 pub struct EndpointConnection {
     sender: SendRequest<Full<Bytes>>,
@@ -43,42 +44,42 @@
 }
 
 impl Drop for EndpointConnection {
-    /// Closes the connection: a request that nobody waits for must not keep an engine at work.
+    /// Closes the connection, so that the engine stops work on a request that was abandoned.
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 impl EndpointConnection {
-    /// Connects to `address`.
+    /// Connects to `address` within 250 ms.
     ///
     /// # Errors
-    /// `SendFailure::NotConnected`.
+    /// `SendFailure::NotConnected` when the connection or the HTTP handshake fails.
     pub async fn open(address: SocketAddr) -> Result<Self, SendFailure> {
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let Ok(Ok(stream)) = connect.await else { return Err(SendFailure::NotConnected) };
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("a connection to {address} sends in larger pieces: {error}");
+            log::debug!("cannot set TCP_NODELAY on the connection to {address}: {error}");
         }
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
         let Ok((sender, connection)) = handshake else { return Err(SendFailure::NotConnected) };
         let driver = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("a connection to an endpoint ended: {error}");
+                log::debug!("connection to an endpoint failed: {error}");
             }
         });
         Ok(Self { sender, driver: driver.abort_handle() })
     }
 
-    /// Whether a request can be sent on it now.
+    /// Whether a request can be sent on the connection now.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends `request` and waits for the head of the answer.
+    /// Sends `request` and waits for the response head.
     ///
     /// # Errors
-    /// A `SendFailure` that tells whether the request may have left.
+    /// `SendFailure::NotSent` when no byte was sent, otherwise `SendFailure::Broken`.
     pub async fn send(mut self, request: Request<Bytes>) -> Result<Exchange, SendFailure> {
         if self.sender.ready().await.is_err() {
             return Err(SendFailure::NotSent);
@@ -89,23 +90,23 @@
                 let (head, body) = response.into_parts();
                 Ok(Exchange { head, body, connection: self })
             }
-            // The request came back untouched.
+            // hyper returns the request only when none of it was sent.
             Err(error) if error.message().is_some() => Err(SendFailure::NotSent),
             Err(error) => {
-                log::debug!("no answer: {}", error.error());
+                log::debug!("no response to the request: {}", error.error());
                 Err(SendFailure::Broken)
             }
         }
     }
 }
 
-/// Whether a connection to `address` is refused: its host answers, and nothing listens there any more.
+/// Whether `address` refuses connections: the host is up, but no process listens on the port.
 pub async fn is_refused(address: SocketAddr) -> bool {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     matches!(connect.await, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// An answer that has begun.
+/// Response whose head has been received.
 #[derive(Debug)]
 pub struct Exchange {
     /// Status and headers.
@@ -115,16 +116,16 @@
 }
 
 impl Exchange {
-    /// The next bytes of the body; `None` at its end.
+    /// Next bytes of the body; `None` at its end.
     ///
     /// # Errors
-    /// `SendFailure::Broken` when the body ends before it is whole.
+    /// `SendFailure::Broken` when the body ends early.
     pub async fn next_bytes(&mut self) -> Result<Option<Bytes>, SendFailure> {
         loop {
             match self.body.frame().await {
                 None => return Ok(None),
                 Some(Err(error)) => {
-                    log::debug!("an answer broke off: {error}");
+                    log::debug!("response body ended early: {error}");
                     return Err(SendFailure::Broken);
                 }
                 Some(Ok(frame)) => {
@@ -136,22 +137,22 @@
         }
     }
 
-    /// The whole body, and the connection when the answer was complete.
+    /// Reads the body to its end; returns the head, the body and the connection for reuse.
     ///
     /// # Errors
-    /// `SendFailure::Broken` when the body ends before it is whole, or is too large.
+    /// `SendFailure::Broken` when the body ends early or is larger than 8 MiB.
     pub async fn whole(mut self) -> Result<(Parts, Bytes, EndpointConnection), SendFailure> {
         let mut whole = Vec::new();
         while let Some(bytes) = self.next_bytes().await? {
             whole.extend_from_slice(&bytes);
-            if whole.len() > MAX_WHOLE_BODY {
+            if whole.len() > MAX_BUFFERED_BODY_BYTES {
                 return Err(SendFailure::Broken);
             }
         }
         Ok((self.head, Bytes::from(whole), self.connection))
     }
 
-    /// The connection, once the body has been read to its end.
+    /// Returns the connection for reuse; valid only after the body was read to its end.
     pub fn into_connection(self) -> EndpointConnection {
         self.connection
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 on one current-thread runtime: connections to endpoints and from callers.
+//! HTTP/1.1 client connections to endpoints and an HTTP/1.1 server for callers, on a
+//! current-thread Tokio runtime.
 
 mod body;
 mod connection;
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,8 +1,8 @@
-//! Idle connections to endpoints.
+//! Pool of idle connections to endpoints.
 //!
-//! A connection may be closed by the endpoint while a request is on its way to it, and that
-//! request may or may not have run. So a connection is used again only well inside the time for
-//! which the endpoint said it would keep it.
+//! An endpoint may close an idle connection while a request is in flight, and then it is unknown
+//! whether the request ran. A pooled connection is therefore reused only expires_at a margin before the
+//! keep-alive timeout that the endpoint announced.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 use super::{EndpointConnection, SendFailure};
 
-/// Idle time after which a connection is not used again where the endpoint names no limit.
-const DEFAULT_IDLE: Duration = Duration::from_secs(2);
+/// Idle time limit of a connection whose endpoint announced no keep-alive timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Part of the named limit that is used, and what it is shortened by: limits are whole seconds.
-const IDLE_MARGIN: Duration = Duration::from_millis(1_000);
+/// Margin subtracted from the announced keep-alive timeout, which is given in whole seconds.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// Connections that wait for their next request.
+/// Idle connections by endpoint address.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: SortedTable<SocketAddr, Vec<IdleConnection>>,
@@ -26,56 +26,57 @@
 #[derive(Debug)]
 struct IdleConnection {
     connection: EndpointConnection,
-    until: TimePoint,
+    expires_at: TimePoint,
 }
 
 impl ConnectionPool {
-    /// An idle connection to `address` that can be used at `now`.
+    /// Removes and returns an idle connection to `address` that is usable at `now`.
     pub fn take(&mut self, now: TimePoint, address: SocketAddr) -> Option<EndpointConnection> {
         let idle = self.idle.get_mut(&address)?;
-        // The one that was used last is the least likely to have been closed meanwhile.
+        // The most recently used connection is the least likely to have been closed.
         while let Some(candidate) = idle.pop() {
-            if now < candidate.until && candidate.connection.is_usable() {
+            if now < candidate.expires_at && candidate.connection.is_usable() {
                 return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection for later, one of `most` to its endpoint; `limit` is how long the endpoint
-    /// keeps it.
+    /// Adds an idle connection unless `max_idle` are kept for `address` already; `idle_limit` is the
+    /// keep-alive timeout that the endpoint announced.
     ///
     /// An endpoint accepts a bounded number of connections from all processes together and resets
-    /// further ones. A request on a connection that is reset may have run, so callers of what must not
-    /// run twice are told that the outcome is unknown.
+    /// the others. A request on a connection that is reset may have run, so the outcome of a
+    /// non-idempotent request is reported as unknown.
     pub fn put(
         &mut self,
         now: TimePoint,
         address: SocketAddr,
         connection: EndpointConnection,
-        limit: Option<Duration>,
-        most: usize,
+        idle_limit: Option<Duration>,
+        max_idle: usize,
     ) {
-        let time = limit.map_or(DEFAULT_IDLE, |limit| limit.saturating_sub(IDLE_MARGIN));
+        let idle_timeout = idle_limit
+            .map_or(DEFAULT_IDLE_TIMEOUT, |limit| limit.saturating_sub(IDLE_TIMEOUT_MARGIN));
         let idle = self.idle.get_or_insert_with(address, Vec::new);
-        if idle.len() < most && !time.is_zero() {
-            idle.push(IdleConnection { connection, until: now.after(time) });
+        if idle.len() < max_idle && !idle_timeout.is_zero() {
+            idle.push(IdleConnection { connection, expires_at: now.after(idle_timeout) });
         }
     }
 
-    /// Closes connections that are not used any more.
+    /// Closes the idle connections that have expired or been closed by the endpoint.
     pub fn prune(&mut self, now: TimePoint) {
         for idle in self.idle.values_mut() {
-            idle.retain(|candidate| now < candidate.until && candidate.connection.is_usable());
+            idle.retain(|candidate| now < candidate.expires_at && candidate.connection.is_usable());
         }
         self.idle.retain(|_, idle| !idle.is_empty());
     }
 }
 
-/// A connection to `address`: an idle one, or a new one.
+/// Returns the `idle` connection if there is one, otherwise connects to `address`.
 ///
 /// # Errors
-/// `SendFailure::NotConnected`.
+/// `SendFailure::NotConnected` when a new connection fails.
 pub async fn connect(
     idle: Option<EndpointConnection>,
     address: SocketAddr,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepting connections and serving requests on them.
+//! HTTP/1.1 server: accepts connections and serves requests on them.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -17,19 +17,19 @@
 
 use super::AnswerBody;
 
-/// Wait after a failed accept, as when descriptors run out.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What connections of a server may use.
+/// Limits on the connections of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Open connections.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections: usize,
-    /// Time for a head to arrive, and for a connection to be idle.
+    /// Timeout for receiving a request head, which also limits the time between requests.
     pub idle: Duration,
 }
 
-/// A listener with its open connections.
+/// Running HTTP server.
 #[derive(Debug)]
 pub struct HttpServer {
     stop: watch::Sender<bool>,
@@ -37,7 +37,8 @@
 }
 
 impl HttpServer {
-    /// Serves `listener` with `handle` on the current thread.
+    /// Accepts connections of `listener` and answers their requests with `handle`, as tasks of the
+    /// current thread's `LocalSet`.
     pub fn start<H, F>(listener: TcpListener, limits: ServerLimits, handle: H) -> Self
     where
         H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -45,17 +46,17 @@
     {
         let (stop, stopped) = watch::channel(false);
         let open = Rc::new(Cell::new(0));
-        let count = Rc::clone(&open);
-        tokio::task::spawn_local(accept_all(listener, limits, handle, stopped, count));
+        let open_count = Rc::clone(&open);
+        tokio::task::spawn_local(accept_all(listener, limits, handle, stopped, open_count));
         Self { stop, open }
     }
 
-    /// Stops listening; each connection ends after the answer it is giving.
+    /// Stops accepting connections; open ones close after the response in progress.
     pub fn stop(&self) {
         let _ = self.stop.send(true);
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
@@ -78,16 +79,16 @@
         };
         match accepted {
             Ok((stream, peer)) if open.get() < limits.connections => {
-                let served =
+                let serving =
                     serve(stream, peer, limits, handle.clone(), stopped.clone(), Rc::clone(&open));
                 open.set(open.get() + 1);
-                tokio::task::spawn_local(served);
+                tokio::task::spawn_local(serving);
             }
             Ok((_, peer)) => {
-                log::warn!("a connection of {peer} is closed: too many are open");
+                log::warn!("connection from {peer} was closed: too many connections are open");
             }
             Err(error) => {
-                log::warn!("no connection could be accepted: {error}");
+                log::warn!("accepting a connection failed: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -106,7 +107,7 @@
     F: Future<Output = Response<AnswerBody>> + 'static,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a connection of {peer} is sent larger pieces: {error}");
+        log::debug!("cannot set TCP_NODELAY on the connection from {peer}: {error}");
     }
     let service = service_fn(move |request| {
         let answer = handle(request);
@@ -117,15 +118,15 @@
         .header_read_timeout(limits.idle)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         _ = stopped.wait_for(|stop| *stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        log::debug!("a connection of {peer} ended: {error}");
+    if let Err(error) = result {
+        log::debug!("connection from {peer} failed: {error}");
     }
     open.set(open.get() - 1);
 }
--- a/crates/http/tests/common/mod.rs
+++ b/crates/http/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests on real sockets share.
+//! Helpers shared by the tests on real sockets.
 
-/// Runs `test` on a current-thread runtime, as the processes do.
+/// Runs `test` on a current-thread runtime, as production processes do.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/http/tests/pool.rs
+++ b/crates/http/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints, on real sockets.
+//! Pooled connections to endpoints, on real sockets.
 
 mod common;
 
@@ -12,10 +12,10 @@
 
 const NOW: TimePoint = TimePoint(1_000_000);
 
-/// A listener that accepts and keeps every connection.
-async fn keeper() -> SocketAddr {
+/// Starts a listener that accepts every connection and keeps it open.
+async fn start_listener() -> SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it listens");
+    let address = listener.local_addr().expect("the listener has an address");
     tokio::task::spawn_local(async move {
         let mut kept = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
@@ -25,19 +25,23 @@
     address
 }
 
-async fn put(pool: &mut ConnectionPool, address: SocketAddr, limit: Option<Duration>, most: usize) {
-    let connection = EndpointConnection::open(address).await.expect("the keeper accepts");
-    pool.put(NOW, address, connection, limit, most);
+async fn put(
+    pool: &mut ConnectionPool,
+    address: SocketAddr,
+    idle_limit: Option<Duration>,
+    max_idle: usize,
+) {
+    let connection = EndpointConnection::open(address).await.expect("the listener accepts");
+    pool.put(NOW, address, connection, idle_limit, max_idle);
 }
 
-/// Eighteen entries keep as many connections as they like before an endpoint that accepts 72 from
-/// all of them. New connections are reset there, and callers of requests that must not run twice
-/// are told that the outcome is unknown.
+/// Guards against pools that exhaust an endpoint: 18 entries share one that accepts 72 connections in
+/// total. It resets further ones, which leaves the outcome of non-idempotent requests unknown.
 #[test]
-fn no_more_connections_are_kept_than_the_share_of_an_entry() {
+fn the_pool_keeps_no_more_idle_connections_than_allowed() {
     run(async {
         let mut pool = ConnectionPool::default();
-        let address = keeper().await;
+        let address = start_listener().await;
 
         for _ in 0..5 {
             put(&mut pool, address, None, 2).await;
@@ -49,13 +53,13 @@
     });
 }
 
-/// An endpoint says that it closes idle connections after three seconds. A request that is sent just
-/// then crosses the close and may or may not have run; the connection is left alone a second before.
+/// An endpoint announces that it closes idle connections after three seconds. A request sent at that
+/// moment may or may not have run, so the connection is not reused in the last second.
 #[test]
-fn connections_are_not_used_close_to_their_end() {
+fn connections_are_not_reused_near_their_idle_timeout() {
     run(async {
         let mut pool = ConnectionPool::default();
-        let address = keeper().await;
+        let address = start_listener().await;
         put(&mut pool, address, Some(Duration::from_secs(3)), 4).await;
         put(&mut pool, address, Some(Duration::from_secs(3)), 4).await;
 
--- a/crates/web/src/event.rs
+++ b/crates/web/src/event.rs
@@ -1,20 +1,20 @@
-//! Server-sent events over chunked encoding, each flushed as it comes.
+//! Server-sent events over chunked transfer encoding, each flushed when written.
 
 use std::io::{Result, Write};
 
-/// Writes one event stream to a caller.
+/// Writer of one event stream.
 ///
-/// The HTTP library collects a streamed response before it sends it, so the head and each chunk
-/// are written here by hand.
+/// The HTTP library buffers a streamed response before it sends it, so the response head and the
+/// chunks are written to the connection directly.
 pub struct EventWriter {
     output: Box<dyn Write + Send>,
 }
 
 impl EventWriter {
-    /// Writes the head; `headers` are added to the ones every event stream has.
+    /// Writes the response head with `headers` after the standard ones of an event stream.
     ///
     /// # Errors
-    /// The caller's connection is gone.
+    /// The I/O error when the caller's connection is closed.
     pub fn start(mut output: Box<dyn Write + Send>, headers: &[(&str, &str)]) -> Result<Self> {
         let mut head = String::from(
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -29,36 +29,36 @@
         Ok(Self { output })
     }
 
-    /// Writes one event with `data`.
+    /// Writes one event with `data`, which must not contain a line break.
     ///
     /// # Errors
-    /// The caller's connection is gone.
+    /// The I/O error when the caller's connection is closed.
     pub fn event(&mut self, data: &[u8]) -> Result<()> {
         let mut event = Vec::with_capacity(data.len() + 8);
         event.extend_from_slice(b"data: ");
         event.extend_from_slice(data);
         event.extend_from_slice(b"\n\n");
-        self.chunk(&event)
+        self.write_chunk(&event)
     }
 
-    /// Writes a comment, which callers ignore; shows whether the caller is still there.
+    /// Writes a comment, which callers ignore; it detects a closed connection.
     ///
     /// # Errors
-    /// The caller's connection is gone.
+    /// The I/O error when the caller's connection is closed.
     pub fn comment(&mut self, text: &str) -> Result<()> {
-        self.chunk(format!(": {text}\n\n").as_bytes())
+        self.write_chunk(format!(": {text}\n\n").as_bytes())
     }
 
-    /// Ends the stream.
+    /// Ends the stream with the final write_chunk.
     ///
     /// # Errors
-    /// The caller's connection is gone.
+    /// The I/O error when the caller's connection is closed.
     pub fn finish(mut self) -> Result<()> {
         self.output.write_all(b"0\r\n\r\n")?;
         self.output.flush()
     }
 
-    fn chunk(&mut self, data: &[u8]) -> Result<()> {
+    fn write_chunk(&mut self, data: &[u8]) -> Result<()> {
         let mut chunk = format!("{:x}\r\n", data.len()).into_bytes();
         chunk.extend_from_slice(data);
         chunk.extend_from_slice(b"\r\n");
--- a/crates/web/src/front/relay.rs
+++ b/crates/web/src/front_proxy/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying one connection under the limits.
+//! Relays one connection between a caller and the HTTP library and enforces the limits.
 
 use std::io::{Error, ErrorKind, Result};
 use std::net::SocketAddr;
@@ -10,33 +10,35 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::limits::FrontLimits;
+use super::limits::ListenerLimits;
 use super::state::ConnectionState;
 use super::table::ConnectionTable;
 use crate::reply::JsonReply;
 
-/// Most bytes moved at one time.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Size of the copy buffer, in bytes.
+const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Time between two looks at the limits.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two checks of the time limits.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks without a write after which the last answer counts as delivered to the caller's socket.
-const QUIET_LOOKS: u32 = 2;
+/// Consecutive checks without a write after which the last response counts as delivered to the
+/// caller's socket.
+const QUIET_CHECKS: u32 = 2;
 
-/// Time that the library gets to read a head of the largest size.
-const HEAD_GRACE: Duration = Duration::from_secs(1);
+/// Time that the library gets to consume a head of the maximum size.
+const HEAD_READ_GRACE: Duration = Duration::from_secs(1);
 
-/// Pause before the library is asked again whether it has read the head.
-const HEAD_PAUSE: Duration = Duration::from_millis(2);
+/// Interval between two checks whether the library has read the head.
+const HEAD_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Time and bytes for which a refused caller is still read, so that it sees its answer.
+/// Time for which input is drained after the write side is closed, so that the caller can read
+/// its response; also the write timeout of a refusal.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 
-/// Bytes that a refused caller may still send.
+/// Maximum number of bytes drained meanwhile.
 const LINGER_BYTES: usize = 1024 * 1024;
 
-/// Why a connection is closed by the front.
+/// Reason for which the proxy closes a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseReason {
     TooSlow,
@@ -70,122 +72,123 @@
 /// Relays one connection until it ends.
 pub(super) async fn serve(
     mut client: TcpStream,
-    inner: SocketAddr,
-    limits: FrontLimits,
+    library_address: SocketAddr,
+    limits: ListenerLimits,
     table: Arc<ConnectionTable>,
 ) {
-    if table.len() >= limits.connections as usize {
-        // A flood of refused callers must not take the descriptors that others need.
-        if let Some(_place) = table.begin_refusal() {
+    if table.len() >= limits.max_connections as usize {
+        // Limits refusals in progress, so that they can't use up the file descriptors.
+        if let Some(_slot) = table.acquire_refusal_slot() {
             refuse(&mut client, CloseReason::TooMany).await;
         }
         return;
     }
-    let relayed = relay(&mut client, inner, &limits, &table).await;
+    let relayed = relay(&mut client, library_address, &limits, &table).await;
     match relayed {
         Ok(Some(reason)) => refuse(&mut client, reason).await,
         Ok(None) => linger(&mut client).await,
-        Err(error) => log::debug!("a connection broke: {error}"),
+        Err(error) => log::debug!("connection failed: {error}"),
     }
 }
 
 async fn relay(
     client: &mut TcpStream,
-    inner: SocketAddr,
-    limits: &FrontLimits,
+    library_address: SocketAddr,
+    limits: &ListenerLimits,
     table: &ConnectionTable,
 ) -> Result<Option<CloseReason>> {
     client.set_nodelay(true)?;
-    let mut server = TcpStream::connect(inner).await?;
+    let mut server = TcpStream::connect(library_address).await?;
     server.set_nodelay(true)?;
     let address = server.local_addr()?;
     let state = Arc::new(ConnectionState::new());
     table.add(address, Arc::clone(&state));
-    let _entry = TableEntry { table, address };
+    let _guard = TableGuard { table, address };
     let (mut from_client, mut to_client) = client.split();
     let (mut from_server, mut to_server) = server.split();
     tokio::select! {
-        ended = pump_down(&mut from_server, &mut to_client, &state, limits) => ended,
-        ended = pump_up(&mut from_client, &mut to_server, &state, limits) => ended,
-        reason = watch(&state, limits, table) => Ok(Some(reason)),
+        result = copy_responses(&mut from_server, &mut to_client, &state, limits) => result,
+        result = copy_requests(&mut from_client, &mut to_server, &state, limits) => result,
+        reason = enforce_time_limits(&state, limits, table) => Ok(Some(reason)),
     }
 }
 
-/// Takes a connection out of the table however its relay ends.
-struct TableEntry<'a> {
+/// Removes a connection from the table when its relay ends or is cancelled.
+struct TableGuard<'a> {
     table: &'a ConnectionTable,
     address: SocketAddr,
 }
 
-impl Drop for TableEntry<'_> {
+impl Drop for TableGuard<'_> {
     fn drop(&mut self) {
         self.table.remove(self.address);
     }
 }
 
-/// Caller to library; ends only when the connection must.
-async fn pump_up(
+/// Copies bytes from the caller to the library; returns only when the connection must be closed.
+async fn copy_requests(
     from: &mut ReadHalf<'_>,
     to: &mut WriteHalf<'_>,
     state: &ConnectionState,
-    limits: &FrontLimits,
+    limits: &ListenerLimits,
 ) -> Result<Option<CloseReason>> {
     loop {
         if let Some(reason) = wait_for_head(state, limits).await {
             return Ok(Some(reason));
         }
-        let Some(piece) = read_piece(from).await? else { break };
-        state.add_received(piece.len());
-        if to.write_all(&piece).await.is_err() {
-            // The library closed; what it still had to say comes the other way.
+        let Some(chunk) = read_chunk(from).await? else { break };
+        state.add_received(chunk.len());
+        if to.write_all(&chunk).await.is_err() {
+            // The library closed its end; its remaining response bytes arrive through `copy_responses`.
             break;
         }
     }
-    // A caller may close its side and still read its answer.
+    // A caller may close its write side and still read its response.
     let _ = to.shutdown().await;
     std::future::pending().await
 }
 
-/// Holds the caller back while a head of the largest size is not read.
-async fn wait_for_head(state: &ConnectionState, limits: &FrontLimits) -> Option<CloseReason> {
+/// Waits while the maximum number of head bytes is unread by the library.
+async fn wait_for_head(state: &ConnectionState, limits: &ListenerLimits) -> Option<CloseReason> {
     let since = Instant::now();
-    while state.head_pending() > limits.head_bytes {
-        if since.elapsed() > HEAD_GRACE {
+    while state.unread_head_bytes() > limits.max_head_bytes {
+        if since.elapsed() > HEAD_READ_GRACE {
             return Some(CloseReason::HeadTooLarge);
         }
-        sleep(HEAD_PAUSE).await;
+        sleep(HEAD_CHECK_INTERVAL).await;
     }
     None
 }
 
-/// Library to caller, until the library closes.
-async fn pump_down(
+/// Copies bytes from the library to the caller until the library closes.
+async fn copy_responses(
     from: &mut ReadHalf<'_>,
     to: &mut WriteHalf<'_>,
     state: &ConnectionState,
-    limits: &FrontLimits,
+    limits: &ListenerLimits,
 ) -> Result<Option<CloseReason>> {
     loop {
-        let Some(piece) = read_piece(from).await? else { break };
-        if state.seen() == 0 {
-            // No request came of it, so this is the library's own refusal, without a body.
+        let Some(chunk) = read_chunk(from).await? else { break };
+        if state.heads_read() == 0 {
+            // The library has read no request, so this is its own error response, without a body.
             return Ok(Some(CloseReason::BadHead));
         }
         state.set_writing(true);
-        let written = timeout(limits.write_time, to.write_all(&piece)).await;
+        let written = timeout(limits.write_timeout, to.write_all(&chunk)).await;
         state.set_writing(false);
-        written.map_err(|_| Error::new(ErrorKind::TimedOut, "the caller does not read"))??;
-        state.add_sent(piece.len());
+        written
+            .map_err(|_| Error::new(ErrorKind::TimedOut, "writing to the caller timed out"))??;
+        state.add_sent(chunk.len());
     }
-    let refused = state.seen() == 0 && state.received() > 0;
+    let refused = state.heads_read() == 0 && state.received() > 0;
     Ok(refused.then_some(CloseReason::BadHead))
 }
 
-/// The next bytes; `None` at the end. Keeps no buffer while it waits.
-async fn read_piece(from: &mut ReadHalf<'_>) -> Result<Option<Vec<u8>>> {
+/// Next bytes; `None` at the end. Holds no buffer while it waits.
+async fn read_chunk(from: &mut ReadHalf<'_>) -> Result<Option<Vec<u8>>> {
     loop {
         from.readable().await?;
-        let mut buffer = [0_u8; PIECE_BYTES];
+        let mut buffer = [0_u8; COPY_BUFFER_BYTES];
         match from.try_read(&mut buffer) {
             Ok(0) => return Ok(None),
             Ok(count) => return Ok(Some(buffer[..count].to_vec())),
@@ -195,36 +198,37 @@
     }
 }
 
-/// Looks after the time limits; ends when one is passed.
-async fn watch(
+/// Checks the time limits until one is exceeded, and returns the reason.
+async fn enforce_time_limits(
     state: &ConnectionState,
-    limits: &FrontLimits,
+    limits: &ListenerLimits,
     table: &ConnectionTable,
 ) -> CloseReason {
-    let mut quiet = 0;
-    let mut phase = (state.seen(), false, false);
+    let mut quiet_checks = 0;
+    let mut phase = (state.heads_read(), false, false);
     let mut since = Instant::now();
     let mut sent = 0;
     loop {
-        sleep(WATCH_INTERVAL).await;
-        quiet = if state.is_flushing() && !state.is_writing() { quiet + 1 } else { 0 };
-        if quiet >= QUIET_LOOKS {
+        sleep(CHECK_INTERVAL).await;
+        quiet_checks =
+            if state.is_flushing() && !state.is_writing() { quiet_checks + 1 } else { 0 };
+        if quiet_checks >= QUIET_CHECKS {
             state.set_flushed();
         }
         if table.is_stopped() && state.is_idle() && !state.is_flushing() {
             return CloseReason::Idle;
         }
-        let current = (state.seen(), state.is_receiving(), state.is_idle());
+        let current = (state.heads_read(), state.is_receiving(), state.is_idle());
         if current != phase {
             (phase, since, sent) = (current, Instant::now(), state.sent());
             continue;
         }
         let (_, receiving, idle) = phase;
-        if receiving && since.elapsed() >= limits.receive_time {
-            // A caller that has been answered already would take a second answer for another's.
+        if receiving && since.elapsed() >= limits.receive_timeout {
+            // After a response has been sent, a second one could be taken for that of another request.
             return if state.sent() > sent { CloseReason::Idle } else { CloseReason::TooSlow };
         }
-        if idle && since.elapsed() >= limits.idle_time {
+        if idle && since.elapsed() >= limits.idle_timeout {
             return CloseReason::Idle;
         }
     }
@@ -232,14 +236,14 @@
 
 async fn refuse(client: &mut TcpStream, reason: CloseReason) {
     if let Some(reply) = reason.reply() {
-        log::debug!("a connection was refused: {reason:?}");
+        log::debug!("connection was refused: {reason:?}");
         let _ = timeout(LINGER_TIME, client.write_all(&reply.to_bytes())).await;
     }
     linger(client).await;
 }
 
-/// Closes our side, then reads on for a moment: a close with unread bytes would reset the
-/// connection, and the caller would lose the answer that it has not read yet.
+/// Closes the write side, then drains input for a limited time: a close with unread input would
+/// reset the connection, and the caller would lose a response that it has not read yet.
 async fn linger(client: &mut TcpStream) {
     let _ = client.shutdown().await;
     let drain = async {
--- a/crates/web/src/front/state.rs
+++ b/crates/web/src/front_proxy/state.rs
@@ -1,29 +1,29 @@
-//! What the front and the request threads know of one connection.
+//! State of one connection, shared by the front proxy and the request threads.
 
 use std::cell::RefCell;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// One connection.
+/// Byte and request counts of one connection.
 #[derive(Debug)]
 pub(crate) struct ConnectionState {
     opened: Instant,
-    /// Bytes that came from the caller.
+    /// Bytes received from the caller.
     received: AtomicU64,
-    /// The same when the library last finished reading something.
+    /// Value of `received` when the library last finished reading a head or body.
     consumed: AtomicU64,
-    /// Bytes that went to the caller.
+    /// Bytes sent to the caller.
     sent: AtomicU64,
-    /// Heads that the library has read.
-    seen: AtomicU32,
-    /// Requests that run.
+    /// Request heads that the library has read.
+    heads_read: AtomicU32,
+    /// Requests in progress.
     running: AtomicU32,
-    /// Whether a body is still to come.
-    body: AtomicBool,
-    /// Whether a request has ended whose answer may still be on its way to the caller.
+    /// Whether a request body is still incomplete.
+    body_pending: AtomicBool,
+    /// Whether a request has finished whose response may still be in transit to the caller.
     flushing: AtomicBool,
-    /// Whether bytes are being written to the caller.
+    /// Whether a write to the caller is in progress.
     writing: AtomicBool,
 }
 
@@ -34,9 +34,9 @@
             received: AtomicU64::new(0),
             consumed: AtomicU64::new(0),
             sent: AtomicU64::new(0),
-            seen: AtomicU32::new(0),
+            heads_read: AtomicU32::new(0),
             running: AtomicU32::new(0),
-            body: AtomicBool::new(false),
+            body_pending: AtomicBool::new(false),
             flushing: AtomicBool::new(false),
             writing: AtomicBool::new(false),
         }
@@ -58,34 +58,35 @@
         self.received.load(Ordering::SeqCst)
     }
 
-    pub(super) fn seen(&self) -> u32 {
-        self.seen.load(Ordering::SeqCst)
+    pub(super) fn heads_read(&self) -> u32 {
+        self.heads_read.load(Ordering::SeqCst)
     }
 
-    /// Bytes of a request whose head is not read yet.
-    pub(super) fn head_pending(&self) -> u64 {
+    /// Bytes received of a request head that the library has not read yet.
+    pub(super) fn unread_head_bytes(&self) -> u64 {
         if self.running.load(Ordering::SeqCst) > 0 {
             return 0;
         }
         self.received().saturating_sub(self.consumed.load(Ordering::SeqCst))
     }
 
-    /// Whether a request is on its way in and not whole.
+    /// Whether a request has been received in part.
     pub(super) fn is_receiving(&self) -> bool {
-        self.head_pending() > 0 || self.body.load(Ordering::SeqCst)
+        self.unread_head_bytes() > 0 || self.body_pending.load(Ordering::SeqCst)
     }
 
-    /// Whether no request runs or is on its way in.
+    /// Whether no request is in progress or received in part.
     pub(super) fn is_idle(&self) -> bool {
         self.running.load(Ordering::SeqCst) == 0 && !self.is_receiving()
     }
 
-    /// Whether bytes came `age` ago or earlier, and the library has read no head yet.
-    pub(super) fn is_unseen(&self, age: Duration) -> bool {
-        self.seen() == 0 && self.received() > 0 && self.opened.elapsed() > age
+    /// Whether the connection is older than `age` and has received bytes, but the library has read no
+    /// head yet.
+    pub(super) fn is_unread(&self, age: Duration) -> bool {
+        self.heads_read() == 0 && self.received() > 0 && self.opened.elapsed() > age
     }
 
-    /// Whether an answer may still be on its way to the caller.
+    /// Whether a response may still be in transit to the caller.
     pub(super) fn is_flushing(&self) -> bool {
         self.flushing.load(Ordering::SeqCst)
     }
@@ -98,31 +99,31 @@
         self.writing.store(writing, Ordering::SeqCst);
     }
 
-    /// Notes that every answer has reached the caller.
+    /// Records that every response has been delivered.
     pub(super) fn set_flushed(&self) {
         self.flushing.store(false, Ordering::SeqCst);
     }
 
     fn begin(&self, has_body: bool) {
-        self.body.store(has_body, Ordering::SeqCst);
+        self.body_pending.store(has_body, Ordering::SeqCst);
         self.running.fetch_add(1, Ordering::SeqCst);
-        self.seen.fetch_add(1, Ordering::SeqCst);
-        self.consume();
+        self.heads_read.fetch_add(1, Ordering::SeqCst);
+        self.mark_consumed();
     }
 
-    fn consume(&self) {
+    fn mark_consumed(&self) {
         self.consumed.store(self.received(), Ordering::SeqCst);
     }
 
     fn finish(&self) {
         self.flushing.store(true, Ordering::SeqCst);
-        self.consume();
-        self.body.store(false, Ordering::SeqCst);
+        self.mark_consumed();
+        self.body_pending.store(false, Ordering::SeqCst);
         self.running.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Counts one running request of a connection down again, also when its thread panics.
+/// Marks a request of a connection as finished when dropped, also if its thread panics.
 #[derive(Debug)]
 pub(crate) struct RunningGuard(Arc<ConnectionState>);
 
@@ -140,21 +141,21 @@
 }
 
 thread_local! {
-    /// Connection of the request that this thread serves.
-    static SERVED: RefCell<Option<Arc<ConnectionState>>> = const { RefCell::new(None) };
+    /// Connection whose request this thread serves.
+    static SERVED_CONNECTION: RefCell<Option<Arc<ConnectionState>>> = const { RefCell::new(None) };
 }
 
-/// Marks this thread as serving a request of the guard's connection.
-pub(crate) fn serve_as(guard: &RunningGuard) {
-    SERVED.with(|served| *served.borrow_mut() = Some(Arc::clone(&guard.0)));
+/// Sets the connection whose request this thread serves.
+pub(crate) fn set_served_connection(guard: &RunningGuard) {
+    SERVED_CONNECTION.with(|served| *served.borrow_mut() = Some(Arc::clone(&guard.0)));
 }
 
-/// Notes that the body of the request served by this thread is whole.
-pub(crate) fn body_is_whole() {
-    SERVED.with(|served| {
+/// Records that the body of the request served by this thread is complete.
+pub(crate) fn mark_body_complete() {
+    SERVED_CONNECTION.with(|served| {
         if let Some(state) = &*served.borrow() {
-            state.consume();
-            state.body.store(false, Ordering::SeqCst);
+            state.mark_consumed();
+            state.body_pending.store(false, Ordering::SeqCst);
         }
     });
 }
--- a/crates/web/src/front/table.rs
+++ b/crates/web/src/front_proxy/table.rs
@@ -1,4 +1,4 @@
-//! All connections of one front, by the relay's own address.
+//! Open connections of one listener.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -9,10 +9,10 @@
 
 use super::state::ConnectionState;
 
-/// Callers that are told at one time that there are too many connections.
+/// Maximum number of refusal responses in progress when there are too many connections.
 const MAX_REFUSALS: usize = 256;
 
-/// Connections by the address under which the HTTP library sees them.
+/// Connections by the loopback address that the HTTP library sees as their peer.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionTable {
     connections: Mutex<SortedTable<SocketAddr, Arc<ConnectionState>>>,
@@ -20,18 +20,17 @@
     refusals: AtomicUsize,
 }
 
-/// A place among the connections that are being refused.
+/// Slot for one refusal in progress, released when dropped.
 #[derive(Debug)]
-pub(super) struct RefusalPlace<'a>(&'a AtomicUsize);
+pub(super) struct RefusalSlot<'a>(&'a AtomicUsize);
 
-impl Drop for RefusalPlace<'_> {
+impl Drop for RefusalSlot<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl ConnectionTable {
-    /// Adds a connection.
     pub(super) fn add(&self, address: SocketAddr, state: Arc<ConnectionState>) {
         self.lock().insert(address, state);
     }
@@ -40,28 +39,28 @@
         self.lock().remove(&address);
     }
 
-    /// A place for telling one more caller why it is refused; `None` when many are told already.
-    pub(super) fn begin_refusal(&self) -> Option<RefusalPlace<'_>> {
-        let place = RefusalPlace(&self.refusals);
-        (self.refusals.fetch_add(1, Ordering::SeqCst) < MAX_REFUSALS).then_some(place)
+    /// Slot for one more refusal; `None` when the maximum is in progress.
+    pub(super) fn acquire_refusal_slot(&self) -> Option<RefusalSlot<'_>> {
+        let slot = RefusalSlot(&self.refusals);
+        (self.refusals.fetch_add(1, Ordering::SeqCst) < MAX_REFUSALS).then_some(slot)
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub(crate) fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// The connection that the library sees under `address`.
+    /// Connection whose peer address at the library is `address`.
     pub(crate) fn find(&self, address: SocketAddr) -> Option<Arc<ConnectionState>> {
         self.lock().get(&address).cloned()
     }
 
-    /// Whether a connection has brought bytes for `age` without the library reading them.
-    pub(super) fn has_unseen(&self, age: Duration) -> bool {
-        self.lock().values().any(|state| state.is_unseen(age))
+    /// Whether a connection older than `age` has bytes that the library has not read.
+    pub(super) fn has_unread(&self, age: Duration) -> bool {
+        self.lock().values().any(|state| state.is_unread(age))
     }
 
-    /// Connections whose last answer may still be on its way.
+    /// Number of connections whose last response may still be in transit.
     pub(crate) fn flushing(&self) -> usize {
         self.lock().values().filter(|state| state.is_flushing()).count()
     }
--- a/crates/web/src/listener.rs
+++ b/crates/web/src/listener.rs
@@ -1,4 +1,4 @@
-//! An HTTP listener that hands each request to a handler on a thread of its own.
+//! HTTP listener that runs a handler for each request on a separate thread.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -8,38 +8,40 @@
 use snafu::{ResultExt, Snafu};
 use tiny_http::{Request, Server};
 
-use crate::front::{self, ConnectionTable, FrontLimits, RunningGuard, serve_as};
+use crate::front_proxy::{
+    self, ConnectionTable, ListenerLimits, RunningGuard, set_served_connection,
+};
 use crate::reply::{JsonReply, header_value, reply_json};
 use crate::worker::{WORKER_STACK_BYTES, spawn_worker};
 
-/// How often a listener looks whether it was stopped.
-const STOP_CHECK: Duration = Duration::from_millis(100);
+/// Interval at which the accept loop checks for a stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Largest body that the HTTP library reads together with the head.
-const SMALL_BODY: usize = 1024;
+/// Largest body that the HTTP library reads together with the head, in bytes.
+const EAGER_BODY_BYTES: usize = 1024;
 
-/// Why a listener could not start.
+/// Reason why a listener could not start.
 #[derive(Debug, Snafu)]
 pub enum ListenError {
-    /// The address cannot be listened on.
+    /// The address cannot be bound, or a thread or socket cannot be created.
     #[snafu(display("cannot listen on {address}: {source}; choose a free address"))]
     Address {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Underlying I/O error.
         source: std::io::Error,
     },
-    /// The HTTP library refused the socket.
+    /// The HTTP library rejected the socket.
     #[snafu(display("cannot serve HTTP on {address}: {detail}; choose a free address"))]
     Library {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the library said.
+        /// Error text of the library.
         detail: String,
     },
 }
 
-/// A running HTTP listener.
+/// Running HTTP listener.
 pub struct HttpListener {
     address: SocketAddr,
     server: Arc<Server>,
@@ -48,7 +50,7 @@
     open: Arc<AtomicU32>,
 }
 
-/// What the dispatching thread works with.
+/// State of the thread that dispatches requests.
 struct RequestDispatch {
     server: Arc<Server>,
     table: Arc<ConnectionTable>,
@@ -59,34 +61,35 @@
 }
 
 impl HttpListener {
-    /// Listens on `address`; at most `max_open` requests run at one time, others are answered
-    /// with status 503.
+    /// Listens on `address` with the default limits and calls `handler` for each request; when
+    /// `max_open` requests are in progress, further ones get status 503.
     ///
     /// # Errors
-    /// A `ListenError` when the address cannot be used.
+    /// `ListenError` when the address cannot be used or a thread cannot be started.
     pub fn start(
         address: SocketAddr,
         max_open: u32,
         handler: Arc<dyn Fn(Request) + Send + Sync>,
     ) -> Result<Self, ListenError> {
-        Self::start_with(address, max_open, FrontLimits::default(), handler)
+        Self::start_with_limits(address, max_open, ListenerLimits::default(), handler)
     }
 
-    /// Listens on `address` with limits of its own.
+    /// Like `start`, with the given limits.
     ///
     /// # Errors
-    /// A `ListenError` when the address cannot be used.
-    pub fn start_with(
+    /// `ListenError` when the address cannot be used or a thread cannot be started.
+    pub fn start_with_limits(
         address: SocketAddr,
         max_open: u32,
-        limits: FrontLimits,
+        limits: ListenerLimits,
         handler: Arc<dyn Fn(Request) + Send + Sync>,
     ) -> Result<Self, ListenError> {
         let listener = TcpListener::bind(address).context(AddressSnafu { address })?;
         let address = listener.local_addr().context(AddressSnafu { address })?;
-        let inner = front::inner_listener().context(AddressSnafu { address })?;
-        let inner_address = inner.local_addr().context(AddressSnafu { address })?;
-        let server = Server::from_listener(inner, None)
+        let library_listener =
+            front_proxy::bind_loopback_listener().context(AddressSnafu { address })?;
+        let library_address = library_listener.local_addr().context(AddressSnafu { address })?;
+        let server = Server::from_listener(library_listener, None)
             .map_err(|error| ListenError::Library { address, detail: error.to_string() })?;
         let dispatch = RequestDispatch {
             server: Arc::new(server),
@@ -96,37 +99,37 @@
             max_open,
             handler,
         };
-        let running = Self {
+        let listener_handle = Self {
             address,
             server: Arc::clone(&dispatch.server),
             table: Arc::clone(&dispatch.table),
             stopped: Arc::clone(&dispatch.stopped),
             open: Arc::clone(&dispatch.open),
         };
-        front::start(listener, inner_address, limits, Arc::clone(&running.table))
+        front_proxy::start(listener, library_address, limits, Arc::clone(&listener_handle.table))
             .context(AddressSnafu { address })?;
         spawn_worker("http-accept", WORKER_STACK_BYTES, move || dispatch.run())
             .context(AddressSnafu { address })?;
-        Ok(running)
+        Ok(listener_handle)
     }
 
-    /// Where it listens; tells the port when zero was asked for.
+    /// Local address, with the assigned port when port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Requests that run now, and answers that are still on their way to the caller.
+    /// Number of requests in progress and of responses still in transit to the caller.
     pub fn open_requests(&self) -> u32 {
         let flushing = u32::try_from(self.table.flushing()).unwrap_or(u32::MAX);
         self.open.load(Ordering::Relaxed).saturating_add(flushing)
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.table.len()
     }
 
-    /// Takes no more requests; those that run go on.
+    /// Stops accepting requests; those in progress continue.
     pub fn stop(&self) {
         self.table.stop();
         self.stopped.store(true, Ordering::Relaxed);
@@ -137,11 +140,11 @@
 impl RequestDispatch {
     fn run(&self) {
         while !self.stopped.load(Ordering::Relaxed) {
-            match self.server.recv_timeout(STOP_CHECK) {
+            match self.server.recv_timeout(STOP_CHECK_INTERVAL) {
                 Ok(Some(request)) => self.start_request(request),
                 Ok(None) => {}
                 Err(error) => {
-                    log::error!("http listener failed: {error}; restart the process");
+                    log::error!("HTTP listener failed: {error}; restart the process");
                     return;
                 }
             }
@@ -151,7 +154,7 @@
     fn start_request(&self, request: Request) {
         let connection = request.remote_addr().and_then(|address| self.table.find(*address));
         let Some(connection) = connection else {
-            // The caller has gone, or somebody on this host went round the front.
+            // The caller has disconnected, or a local process bypassed the front proxy.
             reply_json(request, &JsonReply::refusal(503, "connection_unknown"));
             return;
         };
@@ -161,11 +164,11 @@
             reply_json(request, &JsonReply::refusal(503, "too_many_requests_open"));
             return;
         }
-        let guard = OpenGuard(Arc::clone(&self.open));
+        let open_guard = OpenGuard(Arc::clone(&self.open));
         let handler = Arc::clone(&self.handler);
         let run = move || {
-            let _guard = guard;
-            serve_as(&running);
+            let _open_guard = open_guard;
+            set_served_connection(&running);
             handler(request);
         };
         if let Err(error) = spawn_worker("http-request", WORKER_STACK_BYTES, run) {
@@ -174,15 +177,15 @@
     }
 }
 
-/// Whether a body is still to be read.
+/// Whether the request has a body that the library has not read yet.
 fn has_body(request: &Request) -> bool {
     match request.body_length() {
-        Some(length) => length > SMALL_BODY,
+        Some(length) => length > EAGER_BODY_BYTES,
         None => header_value(request, "transfer-encoding").is_some(),
     }
 }
 
-/// Counts one open request down again, also when its thread panics.
+/// Decrements the number of open requests when dropped, also if the request thread panics.
 struct OpenGuard(Arc<AtomicU32>);
 
 impl Drop for OpenGuard {
--- a/crates/web/src/reply.rs
+++ b/crates/web/src/reply.rs
@@ -1,31 +1,31 @@
-//! Whole replies.
+//! Complete replies, in JSON or text.
 
 use serde_json::{Value, json};
 use tiny_http::{Header, Request, Response, StatusCode};
 
-/// A JSON reply with its status and extra headers.
+/// JSON reply with its status and extra headers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JsonReply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// JSON body.
     pub body: Value,
-    /// Extra headers.
+    /// Headers besides `Content-Type`.
     pub headers: Vec<(&'static str, String)>,
 }
 
 impl JsonReply {
-    /// A reply with `status` and `body`.
+    /// Creates a reply with `status` and `body`.
     pub fn new(status: u16, body: Value) -> Self {
         Self { status, body, headers: Vec::new() }
     }
 
-    /// A refusal of a request that was not looked at yet.
+    /// Creates a refusal of a request that was not examined yet.
     pub fn refusal(status: u16, code: &str) -> Self {
         Self::not_run(status, code, "the request was not looked at; try again in a second")
     }
 
-    /// A refusal of a request that was not run, with the remedy in `message`.
+    /// Creates a refusal of a request that was not run; `message` tells what the caller can do.
     pub fn not_run(status: u16, code: &str, message: &str) -> Self {
         let body = json!({
             "code": code,
@@ -38,7 +38,7 @@
         if status == 503 { reply.with_header("Retry-After", "1".to_owned()) } else { reply }
     }
 
-    /// The whole reply as HTTP/1.1, after which the connection closes.
+    /// Serializes the reply as an HTTP/1.1 response with `Connection: close`.
     pub(crate) fn to_bytes(&self) -> Vec<u8> {
         let body = self.body.to_string();
         let mut head = format!(
@@ -56,7 +56,7 @@
         head.into_bytes()
     }
 
-    /// The same reply with one more header.
+    /// Adds a header to the reply.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: String) -> Self {
         self.headers.push((name, value));
@@ -64,7 +64,7 @@
     }
 }
 
-/// Sends a JSON reply; a caller that has gone is not an error.
+/// Sends a JSON reply; a caller that has disconnected is not an error.
 pub fn reply_json(request: Request, reply: &JsonReply) {
     let mut response = Response::from_string(reply.body.to_string())
         .with_status_code(reply.status)
@@ -73,21 +73,21 @@
         response.add_header(make_header(name, value));
     }
     if let Err(error) = request.respond(response) {
-        log::debug!("caller went before its reply: {error}");
+        log::debug!("caller disconnected before its reply was sent: {error}");
     }
 }
 
-/// Sends a whole body of another type.
+/// Sends a reply of type `content_type`; a caller that has disconnected is not an error.
 pub fn reply_text(request: Request, status: u16, content_type: &str, body: Vec<u8>) {
     let response = Response::from_data(body)
         .with_status_code(status)
         .with_header(make_header("Content-Type", content_type));
     if let Err(error) = request.respond(response) {
-        log::debug!("caller went before its reply: {error}");
+        log::debug!("caller disconnected before its reply was sent: {error}");
     }
 }
 
-/// The value of the header `name`, if the request has it.
+/// Value of the header `name`, compared without regard to case.
 pub fn header_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request
         .headers()
--- a/crates/web/src/worker.rs
+++ b/crates/web/src/worker.rs
@@ -3,13 +3,13 @@
 use std::io::Result;
 use std::thread::{Builder, JoinHandle};
 
-/// Stack of a traffic thread, in bytes; a thousand idle streams must not cost gigabytes.
+/// Stack size of a worker thread, in bytes; small enough that 1,000 idle streams fit in memory.
 pub const WORKER_STACK_BYTES: usize = 256 * 1024;
 
-/// Starts a thread called `name` with a stack of `stack_bytes`.
+/// Starts a thread named `name` with a stack of `stack_bytes`.
 ///
 /// # Errors
-/// The system has no thread left.
+/// The I/O error when the operating system cannot create the thread.
 pub fn spawn_worker(
     name: &str,
     stack_bytes: usize,
--- a/crates/web/tests/bad_input.rs
+++ b/crates/web/tests/bad_input.rs
@@ -1,30 +1,31 @@
-//! What a listener does with callers that send too much, too little, or nonsense.
+//! Listener behaviour with slow callers, oversized requests and malformed input.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use briartray_web::{EventWriter, FrontLimits, HttpListener, JsonReply, read_body, reply_json};
+use briartray_web::{EventWriter, HttpListener, JsonReply, ListenerLimits, read_body, reply_json};
 use serde_json::json;
 
 const MAX_BODY: usize = 10_000;
 
-/// Longer than any limit that the tests set; only a hang takes this long.
-const READ_LIMIT: Duration = Duration::from_secs(30);
+/// Longer than any limit set by the tests, so that only a hang reaches it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn tight_limits() -> FrontLimits {
-    FrontLimits {
-        connections: 40,
-        head_bytes: 8 * 1024,
-        receive_time: Duration::from_millis(2500),
-        idle_time: Duration::from_millis(800),
-        write_time: Duration::from_secs(2),
+fn tight_limits() -> ListenerLimits {
+    ListenerLimits {
+        max_connections: 40,
+        max_head_bytes: 8 * 1024,
+        receive_timeout: Duration::from_millis(2500),
+        idle_timeout: Duration::from_millis(800),
+        write_timeout: Duration::from_secs(2),
     }
 }
 
-/// Answers with the length of the body; `/stream` sends events until the caller goes, `/ten` ten.
-fn start_listener(limits: FrontLimits) -> HttpListener {
+/// Starts a listener that replies with the length of the body; `/stream` sends events until the caller
+/// disconnects, `/ten` sends ten.
+fn start_listener(limits: ListenerLimits) -> HttpListener {
     let handler = Arc::new(|mut request: tiny_http::Request| {
         if request.url() == "/stream" {
             let Ok(mut events) = EventWriter::start(request.into_writer(), &[]) else { return };
@@ -49,35 +50,35 @@
         reply_json(request, &reply);
     });
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    HttpListener::start_with(address, 1000, limits, handler).expect("the listener starts")
+    HttpListener::start_with_limits(address, 1000, limits, handler).expect("the listener starts")
 }
 
 fn connect(listener: &HttpListener) -> TcpStream {
     let stream = TcpStream::connect(listener.address()).expect("a connection");
-    stream.set_read_timeout(Some(READ_LIMIT)).expect("a read limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a read limit");
     stream
 }
 
-/// Everything that comes until the other side closes.
+/// Reads until the listener closes the connection.
 fn read_rest(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    // A reset after the answer is as good as an end here; what came before it counts.
+    // A reset after the response counts as its end.
     let _ = stream.read_to_end(&mut bytes);
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn ask(listener: &HttpListener, text: &str) -> String {
+fn send_request(listener: &HttpListener, text: &str) -> String {
     let mut stream = connect(listener);
     stream.write_all(text.as_bytes()).expect("the listener reads");
     read_rest(&mut stream)
 }
 
-fn good_request() -> &'static str {
+fn valid_request() -> &'static str {
     "POST /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
 }
 
 #[test]
-fn sound_request_is_answered_and_connection_kept() {
+fn valid_requests_are_answered_on_one_connection() {
     let listener = start_listener(tight_limits());
     let mut stream = connect(&listener);
     let request = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
@@ -96,26 +97,26 @@
 }
 
 #[test]
-fn slow_head_is_refused_and_disturbs_nobody() {
-    // Callers open connections and send a head byte by byte, or never finish it. Each would hold a
-    // thread for ever; a caller beside them would find no connection left.
+fn slow_head_is_refused_without_blocking_other_callers() {
+    // Guards against callers that never finish a request head: each would occupy a thread for ever, until
+    // other callers cannot connect.
     let listener = start_listener(tight_limits());
     let mut slow: Vec<TcpStream> = (0..20).map(|_| connect(&listener)).collect();
     for stream in &mut slow {
         stream.write_all(b"POST /x HTTP/1.1\r\nHo").expect("the listener reads");
     }
 
-    let beside = ask(&listener, good_request());
+    let other_response = send_request(&listener, valid_request());
     let answers: Vec<String> = slow.iter_mut().map(read_rest).collect();
 
-    assert!(beside.starts_with("HTTP/1.1 200"), "{beside}");
+    assert!(other_response.starts_with("HTTP/1.1 200"), "{other_response}");
     assert!(answers.iter().all(|answer| answer.contains("request_too_slow")), "{answers:?}");
     listener.stop();
 }
 
 #[test]
 fn slow_body_is_refused() {
-    // A caller announces a body and trickles it. Its request thread would wait without end.
+    // Guards against a caller that sends its body byte by byte and occupies a request thread for ever.
     let listener = start_listener(tight_limits());
     let mut stream = connect(&listener);
     let head = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n";
@@ -137,11 +138,11 @@
 
 #[test]
 fn oversized_head_is_refused() {
-    // A head of megabytes would be kept in memory whole.
+    // Guards against a head of megabytes that the library would buffer completely.
     let listener = start_listener(tight_limits());
     let head = format!("GET /x HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(200 * 1024));
 
-    let answer = ask(&listener, &head);
+    let answer = send_request(&listener, &head);
 
     assert!(answer.contains("431") && answer.contains("head_too_large"), "{answer}");
     listener.stop();
@@ -149,12 +150,14 @@
 
 #[test]
 fn oversized_body_is_refused_before_it_is_sent() {
-    // A caller announces gigabytes. The announcement alone must cost nothing, and the answer must
-    // not wait for the body.
+    // A caller announces a body of gigabytes. No memory may be allocated for it, and the response must not
+    // wait for the body.
     let listener = start_listener(tight_limits());
 
-    let answer =
-        ask(&listener, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4000000000\r\n\r\nstart");
+    let answer = send_request(
+        &listener,
+        "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4000000000\r\n\r\nstart",
+    );
 
     assert!(answer.contains("bad_body") && answer.contains("not_run"), "{answer}");
     listener.stop();
@@ -166,51 +169,51 @@
     let chunk = format!("4000\r\n{}\r\n", "a".repeat(0x4000));
     let text = format!("POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}");
 
-    let answer = ask(&listener, &text);
+    let answer = send_request(&listener, &text);
 
     assert!(answer.contains("bad_body"), "{answer}");
     listener.stop();
 }
 
 #[test]
-fn nonsense_is_refused_with_json() {
-    // Something that is not HTTP, a head with bytes outside ASCII, and a chunk without a length.
+fn malformed_input_is_refused_with_json() {
+    // Text that is not HTTP, a head with non-ASCII bytes, and a chunk without a valid length.
     let listener = start_listener(tight_limits());
     let chunked = "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n";
 
     let answers = [
-        ask(&listener, "hello there\r\n\r\n"),
-        ask(&listener, "GET /x HTTP/1.1\r\nX: \u{e9}\r\n\r\n"),
-        ask(&listener, chunked),
+        send_request(&listener, "hello there\r\n\r\n"),
+        send_request(&listener, "GET /x HTTP/1.1\r\nX: \u{e9}\r\n\r\n"),
+        send_request(&listener, chunked),
     ];
 
-    let sound = |answer: &String| answer.contains("400") && answer.contains("\"not_run\"");
-    assert!(answers.iter().all(sound), "{answers:?}");
+    let is_refusal = |answer: &String| answer.contains("400") && answer.contains("\"not_run\"");
+    assert!(answers.iter().all(is_refusal), "{answers:?}");
     listener.stop();
 }
 
 #[test]
-fn too_many_connections_are_refused_and_places_come_free() {
-    // More connections come than there are places for, as when a balancer reconnects at once.
+fn too_many_connections_are_refused_until_others_close() {
+    // More connections than the limit, as when a load balancer reconnects all at once.
     let listener = start_listener(tight_limits());
     let held: Vec<TcpStream> = (0..40).map(|_| connect(&listener)).collect();
     wait_until(|| listener.open_connections() == 40);
 
-    let refused = ask(&listener, good_request());
+    let refused = send_request(&listener, valid_request());
     drop(held);
     wait_until(|| listener.open_connections() == 0);
-    let taken = ask(&listener, good_request());
+    let accepted = send_request(&listener, valid_request());
 
     assert!(refused.contains("too_many_connections"), "{refused}");
-    assert!(taken.starts_with("HTTP/1.1 200"), "{taken}");
+    assert!(accepted.starts_with("HTTP/1.1 200"), "{accepted}");
     listener.stop();
 }
 
 #[test]
-fn caller_that_closes_its_side_gets_its_answer() {
+fn caller_that_closes_its_write_side_gets_its_response() {
     let listener = start_listener(tight_limits());
     let mut stream = connect(&listener);
-    stream.write_all(good_request().as_bytes()).expect("the listener reads");
+    stream.write_all(valid_request().as_bytes()).expect("the listener reads");
     stream.shutdown(Shutdown::Write).expect("one side closes");
 
     let answer = read_rest(&mut stream);
@@ -232,9 +235,9 @@
 }
 
 #[test]
-fn stop_cuts_off_no_stream() {
-    // The process is told to stop while a stream runs. The caller must still get all of it, and
-    // the listener must not count as empty before the last bytes have left.
+fn stop_waits_for_streams_in_progress() {
+    // The listener stops while a stream is in progress. The caller must get all of it, and the listener
+    // must report open requests until the last bytes are sent.
     let listener = start_listener(tight_limits());
     let mut stream = connect(&listener);
     stream.write_all(b"GET /ten HTTP/1.1\r\nHost: a\r\n\r\n").expect("the listener reads");
@@ -248,11 +251,10 @@
 }
 
 #[test]
-fn bursts_of_streams_start_at_once() {
-    // Many callers open streams within the same moment, again and again. The HTTP library may
-    // queue one behind a thread that already serves another; that caller would see nothing until
-    // a stream ends.
-    let limits = FrontLimits { connections: 500, ..tight_limits() };
+fn bursts_of_streams_start_immediately() {
+    // Guards against streams that hang when many start at once: the HTTP library may queue a connection
+    // behind a thread that serves another one, and nothing arrives until a stream ends.
+    let limits = ListenerLimits { max_connections: 500, ..tight_limits() };
     let listener = start_listener(limits);
 
     let waiting: Vec<usize> = (1..20).map(|round| run_burst(&listener, 3 * round)).collect();
@@ -261,7 +263,7 @@
     listener.stop();
 }
 
-/// Opens `count` streams at once; returns how many of them bring nothing.
+/// Opens `count` streams at once; returns how many of them receive nothing.
 fn run_burst(listener: &HttpListener, count: usize) -> usize {
     let mut streams: Vec<TcpStream> = (0..count).map(|_| connect(listener)).collect();
     for stream in &mut streams {
@@ -274,11 +276,11 @@
     waiting
 }
 
-/// Waits for `condition`; the limit is generous, because a busy machine is no failure.
+/// Waits for `condition`; the timeout is generous so that a busy machine causes no failure.
 fn wait_until(condition: impl Fn() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < READ_LIMIT, "the condition never held");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the condition never held");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
