--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -9,7 +9,7 @@
 use briartray_fleet::message::{EntryReport, HostHello};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::LinkWriter;
-use briartray_model::names::{IncarnationId, NodeName, RequestPrint, ZoneName};
+use briartray_model::names::{IncarnationId, NodeName, RequestFingerprint, ZoneName};
 use briartray_quarantine::QuarantineRecord;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use serde::{Deserialize, Serialize};
@@ -110,7 +110,7 @@
     /// An operator asks for the requests in quarantine.
     Quarantine { reply: ReplySender },
     /// An operator lets a request out of quarantine.
-    Lift { print: RequestPrint, reply: ReplySender },
+    Lift { print: RequestFingerprint, reply: ReplySender },
     /// An operator asks for the evacuated zones.
     Evacuated { reply: ReplySender },
     /// An operator evacuates or readmits a zone.
--- a/crates/gateway/src/control/quarantine_call.rs
+++ b/crates/gateway/src/control/quarantine_call.rs
@@ -1,7 +1,7 @@
 //! How operators see the quarantine and let requests out of it.
 
 use briartray_http::AnswerBody;
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 use briartray_quarantine::QuarantineRecord;
 use http::request::Parts;
 use http::{Method, Response};
@@ -29,7 +29,7 @@
     /// List the requests.
     List,
     /// Let a request out.
-    Lift(RequestPrint),
+    Lift(RequestFingerprint),
 }
 
 impl QuarantineCall {
@@ -56,7 +56,7 @@
 
 fn read_lift(body: &[u8]) -> Result<QuarantineCall, String> {
     let call: LiftCall = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    let print = RequestPrint::parse(&call.print).map(QuarantineCall::Lift);
+    let print = RequestFingerprint::parse(&call.print).map(QuarantineCall::Lift);
     print.ok_or_else(|| "send a print as the list of the quarantine shows it".to_owned())
 }
 
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -11,7 +11,7 @@
 };
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::{IncarnationId, RequestPrint, ServiceName, TeamName};
+use briartray_model::names::{IncarnationId, RequestFingerprint, ServiceName, TeamName};
 use briartray_platform::{AnswerHead, CallerHead, DispatchTerms, dispatch_request};
 use briartray_quarantine::{PrintParts, PrintStanding};
 use bytes::Bytes;
@@ -48,7 +48,7 @@
     /// Endpoint that it was sent to last.
     pub(super) sent_to: Option<SentTo>,
     /// What identifies it, once that was wanted.
-    pub(super) print: OnceCell<RequestPrint>,
+    pub(super) print: OnceCell<RequestFingerprint>,
     /// Replicas that may have run it. One that said that it had not does not count towards the
     /// attempts that the rule allows.
     pub(super) runs: u32,
@@ -130,7 +130,7 @@
     head: &CallerHead,
     team: Option<&TeamName>,
     body: &[u8],
-) -> RequestPrint {
+) -> RequestFingerprint {
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let team = team.map(TeamName::as_str);
     state.print(&PrintParts { host: &head.host, path, team, body })
@@ -143,7 +143,7 @@
     }
 
     /// What identifies it, whatever its id.
-    pub(super) fn print(&self) -> RequestPrint {
+    pub(super) fn print(&self) -> RequestFingerprint {
         *self.print.get_or_init(|| {
             request_print(&self.state, &self.parts, &self.head, self.team.as_ref(), &self.body)
         })
