--- a/crates/gateway/src/control/quarantine_call.rs
+++ b/crates/gateway/src/control/quarantine_call.rs
@@ -1,6 +1,6 @@
 //! Operator calls to list quarantined requests and to lift their quarantine.
 
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 use briartray_model::names::RequestFingerprint;
 use briartray_quarantine::QuarantineRecord;
 use http::request::Parts;
@@ -61,7 +61,7 @@
 }
 
 /// The response that lists `records`.
-pub(super) fn quarantine_answer(records: &[QuarantineRecord]) -> Response<AnswerBody> {
+pub(super) fn quarantine_answer(records: &[QuarantineRecord]) -> Response<ResponseBody> {
     let records: Vec<_> = records.iter().map(QuarantineRecord::shown).collect();
     json_answer(json!(records).to_string())
 }
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -272,7 +272,7 @@
         let Some(engine) = engine else { return };
         let Some(spec) = engine.model(model) else { return };
         // The caller's token limit is a poor estimate: it is three times the usual response length.
-        let answer = head.answer_guess.unwrap_or(engine.usual_answer);
+        let answer = head.output_estimate.unwrap_or(engine.usual_answer);
         let reading = engine.prefill_ms(tokens.prompt) * spec.pace;
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
         let sum = WorkSum {
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -14,21 +14,21 @@
 /// Error that ends a streamed body before the response is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the response stream was cut off before its end"))]
-pub struct StreamCut;
+pub struct TruncatedStream;
 
 /// Sending half of a streamed body.
-pub type BodySender = mpsc::Sender<Result<Bytes, StreamCut>>;
+pub type BodySender = mpsc::Sender<Result<Bytes, TruncatedStream>>;
 
 /// Response body: in one piece or streamed.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Complete body; `None` once it has been sent.
     Whole(Option<Bytes>),
     /// Streamed parts; an error aborts the connection without the final chunk.
-    Parts(mpsc::Receiver<Result<Bytes, StreamCut>>),
+    Parts(mpsc::Receiver<Result<Bytes, TruncatedStream>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Creates a body of `bytes`.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
@@ -41,14 +41,14 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = StreamCut;
+    type Error = TruncatedStream;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Parts(parts) => {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::AnswerBody;
+use super::ResponseBody;
 
 /// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -42,7 +42,7 @@
     pub fn start<H, F>(listener: TcpListener, limits: ServerLimits, handle: H) -> Self
     where
         H: Fn(Request<Incoming>) -> F + Clone + 'static,
-        F: Future<Output = Response<AnswerBody>> + 'static,
+        F: Future<Output = Response<ResponseBody>> + 'static,
     {
         let (stop, stopped) = watch::channel(false);
         let open = Rc::new(Cell::new(0));
@@ -70,7 +70,7 @@
     open: Rc<Cell<usize>>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     loop {
         let accepted = tokio::select! {
@@ -104,7 +104,7 @@
     open: Rc<Cell<usize>>,
 ) where
     H: Fn(Request<Incoming>) -> F + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("cannot set TCP_NODELAY on the connection from {peer}: {error}");
