--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -1,5 +1,5 @@
-//! `briartray check`: settings files, rule documents and data folders are read and checked, nothing
-//! is started or changed.
+//! `briartray check`: validates settings files, rule documents and data folders without starting or
+//! changing anything.
 
 use std::path::Path;
 
@@ -16,26 +16,28 @@
 pub(super) struct CheckOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, help = "settings files and rule documents")]
+    #[options(free, help = "settings files and rule documents to check")]
     files: Vec<String>,
-    #[options(no_short, help = "data folder of a control host", meta = "FOLDER")]
+    #[options(no_short, help = "data folder of a control host to check", meta = "FOLDER")]
     data_folder: Option<String>,
     #[options(no_short, help = "text or json", meta = "FORMAT", default = "text")]
     output: OutputFormat,
 }
 
-/// What one file came to.
+/// Result of checking one file.
 struct CheckedFile<'a> {
     file: &'a str,
-    /// What the file is, in a word or two.
+    /// Kind of file, with the node name for valid settings.
     subject: String,
-    /// Everything that is wrong; empty when the file holds.
+    /// Errors found; empty if the file is valid.
     problems: Vec<String>,
 }
 
 pub(super) fn run(options: &CheckOptions) -> Result<(), CommandError> {
     if options.files.is_empty() && options.data_folder.is_none() {
-        return Err(CommandError::unusable("name files, or a folder by --data-folder"));
+        return Err(CommandError::unusable(
+            "no files given; name files to check, or a folder with --data-folder",
+        ));
     }
     if let Some(folder) = &options.data_folder {
         check_folder(folder, options.output)?;
@@ -50,7 +52,7 @@
     }
     let failed = checked.iter().filter(|file| !file.problems.is_empty()).count();
     if failed > 0 {
-        return Err(CommandError::unusable(format!("{failed} files do not hold")));
+        return Err(CommandError::unusable(format!("{failed} files have errors")));
     }
     Ok(())
 }
@@ -63,7 +65,7 @@
     }
 }
 
-/// Rule documents name rules or services at their outermost level; settings never do.
+/// Whether `text` has a top-level key `rules` or `services`, which settings files never have.
 fn is_rule_document(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("rules:") || line.starts_with("services:"))
 }
@@ -125,15 +127,15 @@
 fn print_report(report: &FolderReport) {
     let identity = &report.identity;
     let members: Vec<&str> = identity.members.iter().map(|member| member.as_str()).collect();
-    let number = |index: Option<LogIndex>| index.map_or("none".to_owned(), |i| i.to_string());
+    let format_index = |index: Option<LogIndex>| index.map_or("none".to_owned(), |i| i.to_string());
     println!("node       {}", identity.node);
     println!("folder     {:016x}", identity.folder.0);
     println!("members    {}", members.join(", "));
     println!("founded    {}", if identity.founding.is_some() { "yes" } else { "no" });
     println!("term       {}", report.hard.term);
     println!("voted      {}", report.hard.voted.as_ref().map_or("nobody", |node| node.as_str()));
-    println!("records    {} to {}", number(report.first), report.last);
-    println!("snapshot   {} ({} bytes)", number(report.snapshot), report.snapshot_bytes);
+    println!("records    {} to {}", format_index(report.first), report.last);
+    println!("snapshot   {} ({} bytes)", format_index(report.snapshot), report.snapshot_bytes);
     match report.torn_bytes {
         0 => println!("damage     none"),
         bytes => println!("damage     a torn tail of {bytes} bytes; the next start cuts it off"),
--- a/crates/cli/src/cmd/demo.rs
+++ b/crates/cli/src/cmd/demo.rs
@@ -1,4 +1,4 @@
-//! `briartray demo`: a whole fleet on loopback, in this process.
+//! `briartray demo`: runs a complete fleet on loopback in this process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,11 +13,11 @@
 use super::CommandError;
 use crate::demo::{DemoFleet, DemoPlan};
 
-/// How often a running demonstration looks whether it should end.
-const END_CHECK: Duration = Duration::from_millis(100);
+/// Interval between checks for a signal or the end of the time limit.
+const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the fleet may take to be ready.
-const READY_WAIT: Duration = Duration::from_secs(30);
+/// Time limit for the fleet to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Options)]
 pub(super) struct DemoOptions {
@@ -25,27 +25,27 @@
     help: bool,
     #[options(
         no_short,
-        help = "where callers connect",
+        help = "listening address for callers",
         meta = "ADDRESS",
         default = "127.0.0.1:8080"
     )]
     listen: SocketAddr,
     #[options(
         no_short,
-        help = "where operators connect",
+        help = "listening address for operators",
         meta = "ADDRESS",
         default = "127.0.0.1:8081"
     )]
     operator: SocketAddr,
-    #[options(no_short, help = "end by itself after this time", meta = "N")]
+    #[options(no_short, help = "exit after this many seconds", meta = "N")]
     seconds: Option<u64>,
     #[options(
         no_short,
-        help = "folder for durable state; a temporary one by default",
+        help = "folder for durable state; a temporary folder by default",
         meta = "FOLDER"
     )]
     data_folder: Option<PathBuf>,
-    #[options(no_short, help = "file that spans are appended to", meta = "FILE")]
+    #[options(no_short, help = "file that trace spans are appended to", meta = "FILE")]
     trace_file: Option<PathBuf>,
     #[options(no_short, help = "least severe log level", meta = "LEVEL", default = "warn")]
     log_level: String,
@@ -61,8 +61,8 @@
         ..DemoPlan::default()
     };
     let fleet = DemoFleet::start(&plan).map_err(CommandError::unusable)?;
-    if !fleet.wait_until_ready(READY_WAIT) {
-        return Err(CommandError::refused("no replica became whole; look at the log"));
+    if !fleet.wait_until_ready(READY_TIMEOUT) {
+        return Err(CommandError::refused("the fleet did not become ready in time; see the log"));
     }
     let address = fleet.caller_address();
     println!("callers    http://{address}");
@@ -83,7 +83,7 @@
     fleet.failure().map_or(Ok(()), |detail| Err(CommandError::refused(detail)))
 }
 
-/// Waits for an interrupt, at most for `limit`.
+/// Waits for `SIGINT` or `SIGTERM`, at most for `limit`.
 pub(super) fn wait_for_signal(limit: Option<Duration>) -> Result<(), CommandError> {
     let stopped = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
@@ -91,7 +91,7 @@
     }
     let started = Instant::now();
     while !stopped.load(Ordering::Relaxed) && limit.is_none_or(|limit| started.elapsed() < limit) {
-        std::thread::sleep(END_CHECK);
+        std::thread::sleep(SIGNAL_POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/cli/src/cmd/entries.rs
+++ b/crates/cli/src/cmd/entries.rs
@@ -1,4 +1,4 @@
-//! `briartray entries`: entries that may hold a rules lease.
+//! `briartray entries`: lists and forgets the entries that may hold a rules lease.
 
 use gumdrop::Options;
 use serde_json::json;
@@ -15,9 +15,9 @@
 
 #[derive(Debug, Options)]
 enum EntriesCommand {
-    #[options(help = "every entry, the rules it has, and whether it may decide")]
+    #[options(help = "list entries with their rules revision and whether they may decide requests")]
     List(ListOptions),
-    #[options(help = "strike off an entry that is known to be gone")]
+    #[options(help = "stop waiting for an entry that no longer runs")]
     Forget(ForgetOptions),
 }
 
@@ -41,13 +41,13 @@
     match &options.command {
         Some(EntriesCommand::List(options)) => list(options),
         Some(EntriesCommand::Forget(options)) => forget(options),
-        None => Err(CommandError::unusable("name a command: list or forget")),
+        None => Err(CommandError::unusable("missing subcommand: list or forget")),
     }
 }
 
 fn list(options: &ListOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let entries = port.get("/v1/entries")?;
+    let client = options.client();
+    let entries = client.get("/v1/entries")?;
     if options.output == OutputFormat::Json {
         println!("{entries}");
         return Ok(());
@@ -61,8 +61,8 @@
 }
 
 fn forget(options: &ForgetOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let reply = port.post("/v1/entries/forget", &json!({ "node": options.node }))?;
+    let client = options.client();
+    let reply = client.post("/v1/entries/forget", &json!({ "node": options.node }))?;
     match options.output {
         OutputFormat::Json => println!("{reply}"),
         OutputFormat::Text => println!("{} is struck off", options.node),
--- a/crates/cli/src/cmd/evacuation.rs
+++ b/crates/cli/src/cmd/evacuation.rs
@@ -1,4 +1,5 @@
-//! `briartray evacuation`: availability zones whose endpoints get nothing more.
+//! `briartray evacuation`: stops and resumes sending requests to the endpoints of an availability
+//! zone.
 
 use gumdrop::Options;
 use serde_json::json;
@@ -15,11 +16,11 @@
 
 #[derive(Debug, Options)]
 enum EvacuationCommand {
-    #[options(help = "the zones that are evacuated")]
+    #[options(help = "list evacuated zones")]
     List(ListOptions),
-    #[options(help = "send nothing more to the endpoints of a zone")]
+    #[options(help = "stop sending requests to the endpoints of a zone")]
     Start(StartOptions),
-    #[options(help = "send to the endpoints of a zone again")]
+    #[options(help = "resume sending requests to the endpoints of a zone")]
     End(EndOptions),
 }
 
@@ -34,7 +35,7 @@
     struct StartOptions {
         #[options(help = "print this help")]
         help: bool,
-        #[options(free, required, help = "the zone")]
+        #[options(free, required, help = "name of the availability zone")]
         zone: String,
     }
 }
@@ -43,7 +44,7 @@
     struct EndOptions {
         #[options(help = "print this help")]
         help: bool,
-        #[options(free, required, help = "the zone")]
+        #[options(free, required, help = "name of the availability zone")]
         zone: String,
     }
 }
@@ -53,22 +54,22 @@
         Some(EvacuationCommand::List(options)) => list(options),
         Some(EvacuationCommand::Start(options)) => {
             let body = json!({ "zone": options.zone });
-            options.port().post("/v1/evacuations/start", &body)?;
+            options.client().post("/v1/evacuations/start", &body)?;
             println!("{} is evacuated", options.zone);
             Ok(())
         }
         Some(EvacuationCommand::End(options)) => {
             let body = json!({ "zone": options.zone });
-            options.port().post("/v1/evacuations/end", &body)?;
+            options.client().post("/v1/evacuations/end", &body)?;
             println!("{} is in use again", options.zone);
             Ok(())
         }
-        None => Err(CommandError::unusable("name a command: list, start or end")),
+        None => Err(CommandError::unusable("missing subcommand: list, start or end")),
     }
 }
 
 fn list(options: &ListOptions) -> Result<(), CommandError> {
-    let zones = options.port().get("/v1/evacuations")?;
+    let zones = options.client().get("/v1/evacuations")?;
     if options.output == OutputFormat::Json {
         println!("{zones}");
         return Ok(());
--- a/crates/cli/src/cmd/groups.rs
+++ b/crates/cli/src/cmd/groups.rs
@@ -1,5 +1,5 @@
-//! `briartray groups`: every group and whether it is whole, or what downtime and stranded
-//! accelerators have been counted.
+//! `briartray groups`: lists the groups and whether each is whole, or shows the accumulated group
+//! downtime and stranded accelerator time.
 
 use serde_json::Value;
 
@@ -15,16 +15,16 @@
 }
 
 pub(super) fn run(options: &GroupsOptions) -> Result<(), CommandError> {
-    let port = options.port();
+    let client = options.client();
     if options.account {
-        let account = port.get("/v1/groups/account")?;
+        let account = client.get("/v1/groups/account")?;
         match options.output {
             OutputFormat::Json => println!("{account}"),
             OutputFormat::Text => print_account(&account),
         }
         return Ok(());
     }
-    let groups = port.get("/v1/groups")?;
+    let groups = client.get("/v1/groups")?;
     if options.output == OutputFormat::Json {
         println!("{groups}");
         return Ok(());
--- a/crates/cli/src/cmd/help.rs
+++ b/crates/cli/src/cmd/help.rs
@@ -1,14 +1,14 @@
-//! Help on standard output, where a pager or a search finds it.
+//! Help text, printed to standard output so that it can be piped into a pager or a search.
 
 use gumdrop::Options;
 
 use super::CommandLine;
 
-/// What every subcommand's exit code means.
+/// Meaning of the exit codes, which is the same for all subcommands.
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 refused or failed, 2 wrong usage or input that \
                           cannot be used, 3 committed but not in force everywhere yet";
 
-/// Prints the help of the innermost subcommand that was named.
+/// Prints the help of the innermost subcommand on the command line.
 pub(super) fn print_help(line: &CommandLine) {
     let mut named: &dyn Options = line;
     let mut path = String::from("briartray");
--- a/crates/cli/src/cmd/load.rs
+++ b/crates/cli/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `briartray load`: open-loop load against an entry, with a check of every answer.
+//! `briartray load`: puts open-loop load on an entry and checks every answer.
 
 use std::io::{IsTerminal, stderr};
 use std::net::SocketAddr;
@@ -13,39 +13,69 @@
 pub(super) struct LoadOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "where requests go", meta = "ADDRESS", default = "127.0.0.1:8080")]
+    #[options(
+        no_short,
+        help = "address of the entry",
+        meta = "ADDRESS",
+        default = "127.0.0.1:8080"
+    )]
     address: SocketAddr,
-    #[options(no_short, help = "requests a second", meta = "N", default = "50")]
+    #[options(no_short, help = "requests per second", meta = "N", default = "50")]
     rate: f64,
-    #[options(no_short, help = "how long requests are started", meta = "N", default = "10")]
+    #[options(
+        no_short,
+        help = "seconds during which requests are started",
+        meta = "N",
+        default = "10"
+    )]
     seconds: f64,
-    #[options(no_short, help = "seed of the schedule", meta = "N", default = "1")]
+    #[options(no_short, help = "random seed of the schedule", meta = "N", default = "1")]
     seed: u64,
-    #[options(no_short, help = "model asked for", meta = "NAME", default = "desk")]
+    #[options(no_short, help = "model to request", meta = "NAME", default = "desk")]
     model: String,
-    #[options(no_short, help = "tokens of each answer", meta = "N", default = "16")]
+    #[options(no_short, help = "tokens per answer", meta = "N", default = "16")]
     tokens: u32,
-    #[options(no_short, help = "team; may be given again", meta = "NAME")]
+    #[options(no_short, help = "team that requests come from; repeatable", meta = "NAME")]
     team: Vec<String>,
-    #[options(no_short, help = "share of streams, 0 to 1", meta = "SHARE", default = "0.5")]
+    #[options(
+        no_short,
+        help = "share of streaming requests, 0 to 1",
+        meta = "SHARE",
+        default = "0.5"
+    )]
     stream_share: f64,
-    #[options(no_short, help = "share with an Idempotency-Key", meta = "SHARE", default = "0")]
+    #[options(
+        no_short,
+        help = "share of requests with an Idempotency-Key",
+        meta = "SHARE",
+        default = "0"
+    )]
     keyed_share: f64,
-    #[options(no_short, help = "prompt prefixes shared among requests", meta = "N", default = "8")]
+    #[options(
+        no_short,
+        help = "number of prompt prefixes shared among requests",
+        meta = "N",
+        default = "8"
+    )]
     prefixes: u32,
-    #[options(no_short, help = "bytes of each shared prefix", meta = "N", default = "512")]
+    #[options(no_short, help = "size of each shared prefix in bytes", meta = "N", default = "512")]
     prefix_bytes: usize,
-    #[options(no_short, help = "plain service that a share of the calls goes to", meta = "NAME")]
+    #[options(no_short, help = "plain service that gets a share of the calls", meta = "NAME")]
     service: Option<String>,
-    #[options(no_short, help = "share of calls to that service", meta = "SHARE", default = "0.1")]
+    #[options(
+        no_short,
+        help = "share of calls to the plain service",
+        meta = "SHARE",
+        default = "0.1"
+    )]
     service_share: f64,
-    #[options(no_short, help = "seconds an answer is waited for", meta = "N", default = "60")]
+    #[options(no_short, help = "time limit for an answer in seconds", meta = "N", default = "60")]
     timeout: f64,
-    #[options(no_short, help = "requests open at one time", meta = "N", default = "4000")]
+    #[options(no_short, help = "maximum number of open requests", meta = "N", default = "4000")]
     max_open: usize,
     #[options(
         no_short,
-        help = "stand-in whose run log is compared; may be given again",
+        help = "stand-in whose run log is compared with the answers; repeatable",
         meta = "ADDRESS"
     )]
     stand_in: Vec<SocketAddr>,
@@ -54,8 +84,8 @@
 }
 
 pub(super) fn run(options: &LoadOptions) -> Result<(), CommandError> {
-    check(options)?;
-    let plan = plan_of(options);
+    check_options(options)?;
+    let plan = build_plan(options);
     let terminal = stderr().is_terminal();
     let progress = |sent: u64, ended: u64| {
         if terminal {
@@ -71,30 +101,30 @@
         OutputFormat::Text => print_report(&report),
     }
     if !report.is_clean() {
-        let message = "requests were lost, doubled, crossed or cut short; see the counts";
+        let message = "requests were lost, repeated, crossed or cut short; see the counts";
         return Err(CommandError::refused(message));
     }
     Ok(())
 }
 
-fn check(options: &LoadOptions) -> Result<(), CommandError> {
+fn check_options(options: &LoadOptions) -> Result<(), CommandError> {
     let shares = [options.stream_share, options.keyed_share, options.service_share];
     if shares.iter().any(|share| !(0.0..=1.0).contains(share)) {
-        return Err(CommandError::unusable("a share lies between 0 and 1"));
+        return Err(CommandError::unusable("a share must be between 0 and 1"));
     }
     if !(options.rate > 0.0 && options.rate <= 100_000.0) {
-        return Err(CommandError::unusable("--rate lies above 0 and at most at 100000"));
+        return Err(CommandError::unusable("--rate must be above 0 and at most 100000"));
     }
     if !(options.seconds > 0.0 && options.seconds <= 86_400.0) {
-        return Err(CommandError::unusable("--seconds lies above 0 and at most at 86400"));
+        return Err(CommandError::unusable("--seconds must be above 0 and at most 86400"));
     }
     if !(options.timeout > 0.0 && options.timeout <= 3_600.0) {
-        return Err(CommandError::unusable("--timeout lies above 0 and at most at 3600"));
+        return Err(CommandError::unusable("--timeout must be above 0 and at most 3600"));
     }
     Ok(())
 }
 
-fn plan_of(options: &LoadOptions) -> LoadPlan {
+fn build_plan(options: &LoadOptions) -> LoadPlan {
     let teams: Vec<&str> = options.team.iter().map(String::as_str).collect();
     let plan = LoadPlan::new(options.address)
         .pace(options.rate, Duration::from_secs_f64(options.seconds))
--- a/crates/cli/src/cmd/mod.rs
+++ b/crates/cli/src/cmd/mod.rs
@@ -1,7 +1,7 @@
-//! One module per subcommand.
+//! The subcommands, one module each.
 //!
-//! Exit codes: 0 done, 1 refused or failed, 2 wrong usage or input that cannot be used,
-//! 3 committed but not yet in force everywhere.
+//! Exit codes: 0 success, 1 refused or failed, 2 wrong usage or unusable input, 3 change committed
+//! but not yet in force everywhere.
 
 #[macro_use]
 mod operator;
@@ -26,7 +26,7 @@
 use gumdrop::Options;
 use snafu::Snafu;
 
-/// The whole command line.
+/// Parsed command line.
 #[derive(Debug, Options)]
 pub struct CommandLine {
     #[options(help = "print this help")]
@@ -37,27 +37,27 @@
 
 #[derive(Debug, Options)]
 enum Subcommand {
-    #[options(help = "run a whole fleet on loopback in this process")]
+    #[options(help = "run a complete fleet on loopback in this process")]
     Demo(demo::DemoOptions),
     #[options(help = "check settings files, rule documents and data folders")]
     Check(check::CheckOptions),
-    #[options(help = "apply or show rules")]
+    #[options(help = "check, explain, apply or show rules")]
     Rules(rules::RulesOptions),
-    #[options(help = "show what control knows in short")]
+    #[options(help = "show the status of a control host")]
     Status(status::StatusOptions),
-    #[options(help = "show every group")]
+    #[options(help = "list groups, or show their downtime and stranded accelerators")]
     Groups(groups::GroupsOptions),
-    #[options(help = "list entries and their rules, or strike off one that is gone")]
+    #[options(help = "list entries and their rules, or forget one that no longer runs")]
     Entries(entries::EntriesOptions),
-    #[options(help = "list requests that crash endpoints, or let one run again")]
+    #[options(help = "list quarantined requests, which crash endpoints, or release one")]
     Quarantine(quarantine::QuarantineOptions),
-    #[options(help = "keep requests away from an availability zone, or let them back")]
+    #[options(help = "stop or resume sending requests to an availability zone")]
     Evacuation(evacuation::EvacuationOptions),
-    #[options(help = "replay host events through the planner")]
+    #[options(help = "replay a trace of host events through the planner")]
     Replay(replay::ReplayOptions),
     #[options(help = "run a stand-in engine, service or weight store")]
     StandIn(stand_in::StandInOptions),
-    #[options(help = "plan, list and cancel planned stops")]
+    #[options(help = "plan, list or cancel planned stops")]
     Stop(stop::StopOptions),
     #[options(help = "put load on an entry and check every answer")]
     Load(load::LoadOptions),
@@ -65,22 +65,22 @@
     Measure(measure::MeasureOptions),
 }
 
-/// Exit code for wrong usage or input that cannot be used.
+/// Exit code for wrong usage or unusable input.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Exit code for a change that is committed and not yet in force everywhere.
+/// Exit code for a change that is committed but not yet in force everywhere.
 const EXIT_PENDING: u8 = 3;
 
-/// Why a subcommand failed.
+/// Error of a subcommand; each variant has its own exit code.
 #[derive(Debug, Snafu)]
 pub(crate) enum CommandError {
-    /// The request was understood and refused, or failed on the way.
+    /// The operation was refused or failed.
     #[snafu(display("{message}"))]
     Refused { message: String },
-    /// The input cannot be used.
+    /// The command line or an input file is unusable.
     #[snafu(display("{message}"))]
     Unusable { message: String },
-    /// It is done, and not yet in force everywhere.
+    /// The change is committed but not yet in force everywhere.
     #[snafu(display("{message}"))]
     Pending { message: String },
 }
@@ -99,13 +99,13 @@
     }
 }
 
-/// How a subcommand prints.
+/// Output format of a subcommand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum OutputFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// For scripts.
+    /// JSON for scripts.
     Json,
 }
 
@@ -116,22 +116,22 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            _ => Err("use text or json"),
+            _ => Err("unknown format; use text or json"),
         }
     }
 }
 
-/// Runs the subcommand that was named, or prints help.
+/// Runs the subcommand of `line`, or prints help if it was requested.
 pub fn run(line: &CommandLine) -> ExitCode {
     if line.help_requested() {
         help::print_help(line);
         return ExitCode::SUCCESS;
     }
     let Some(command) = &line.command else {
-        eprintln!("briartray: name a command; see briartray --help");
+        eprintln!("briartray: missing subcommand; see briartray --help");
         return ExitCode::from(EXIT_USAGE);
     };
-    let done = match command {
+    let result = match command {
         Subcommand::Demo(options) => demo::run(options),
         Subcommand::Check(options) => check::run(options),
         Subcommand::Rules(options) => rules::run(options),
@@ -146,7 +146,7 @@
         Subcommand::Load(options) => load::run(options),
         Subcommand::Measure(options) => measure::run(options),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("briartray: {error}");
--- a/crates/cli/src/cmd/operator.rs
+++ b/crates/cli/src/cmd/operator.rs
@@ -1,4 +1,4 @@
-//! Calling the operators' port.
+//! Client of the operators' port of the control hosts.
 
 use std::time::{Duration, Instant};
 
@@ -6,29 +6,30 @@
 
 use super::CommandError;
 
-/// How long an operator call may take; an accepted change waits for every entry.
+/// Time limit for one call; long because a change waits until every entry has adopted it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a connection may take.
+/// Time limit for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long several control hosts are asked in turn while none of them leads.
-const LEADER_WAIT: Duration = Duration::from_secs(10);
+/// How long the control hosts are tried in turn before giving up, if there are several.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Wait between two rounds.
-const LEADER_CHECK: Duration = Duration::from_millis(200);
+/// Delay before the control hosts are tried again.
+const LEADER_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Codes upon which another control host is asked; with `no_answer` the outcome is unknown, and
-/// the change id makes sending it again safe.
-const MOVES_ON: [&str; 3] = ["not_leader", "no_answer", "busy"];
+/// Error codes after which the next control host is tried.
+///
+/// After `no_answer` the outcome of a change is unknown; its change id makes a retry safe.
+const RETRY_ELSEWHERE_CODES: [&str; 3] = ["not_leader", "no_answer", "busy"];
 
-/// Address of the operators' port when none is given.
+/// Default address of the operators' port.
 pub(super) const DEFAULT_OPERATOR: &str = "127.0.0.1:8081";
 
-/// Defines the options of a command that calls the operators' port: its own, then where the port
-/// is, the token for it and how to print.
+/// Defines the options of a command that calls the operators' port: the options of the command
+/// itself, followed by the addresses of the port, its token and the output format.
 ///
-/// The fields are taken as they stand: the derive looks at how a type is written.
+/// The fields are matched as raw tokens because the derive depends on how their types are written.
 macro_rules! operator_command {
     ($vis:vis struct $name:ident { $($own:tt)* }) => {
         #[derive(Debug, ::gumdrop::Options)]
@@ -48,7 +49,7 @@
         }
 
         impl $name {
-            fn port(&self) -> $crate::cmd::operator::OperatorPort<'_> {
+            fn client(&self) -> $crate::cmd::operator::OperatorPort<'_> {
                 $crate::cmd::operator::OperatorPort {
                     address: &self.operator,
                     token: self.token.as_deref(),
@@ -58,45 +59,51 @@
     };
 }
 
-/// The operators' ports, separated by commas, and the token for them.
+/// Client of the operators' ports of one or more control hosts.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OperatorPort<'a> {
+    /// Addresses, separated by commas.
     pub(super) address: &'a str,
+    /// Bearer token, the same for all control hosts.
     pub(super) token: Option<&'a str>,
 }
 
 impl OperatorPort<'_> {
-    /// Reads `path`.
+    /// Gets `path` and returns the body of the response.
     pub(super) fn get(&self, path: &str) -> Result<Value, CommandError> {
-        self.ask_each(|address| self.send(attohttpc::get(url(address, path)), address, None))
+        self.try_each_host(|address| self.send(attohttpc::get(url(address, path)), address, None))
     }
 
-    /// Posts `body` to `path`. Another control host may be sent the same body, so it must say
-    /// by an id of its own that it is the same change.
+    /// Posts `body` to `path` and returns the body of the response.
+    ///
+    /// The same body may be sent to several control hosts, so it has to be idempotent or carry a
+    /// change id.
     pub(super) fn post(&self, path: &str, body: &Value) -> Result<Value, CommandError> {
-        self.ask_each(|address| self.send(attohttpc::post(url(address, path)), address, Some(body)))
+        self.try_each_host(|address| {
+            self.send(attohttpc::post(url(address, path)), address, Some(body))
+        })
     }
 
-    /// Asks one control host after the other until one answers as the leader.
-    fn ask_each(
+    /// Tries the control hosts in turn until one of them gives a final answer.
+    fn try_each_host(
         &self,
-        ask: impl Fn(&str) -> Result<Value, CallFailure>,
+        call: impl Fn(&str) -> Result<Value, CallFailure>,
     ) -> Result<Value, CommandError> {
         let addresses: Vec<&str> = self.address.split(',').map(str::trim).collect();
         let started = Instant::now();
         loop {
-            let mut missed = CommandError::unusable("--operator names no address");
+            let mut last_error = CommandError::unusable("--operator has no address");
             for address in &addresses {
-                match ask(address) {
+                match call(address) {
                     Ok(value) => return Ok(value),
                     Err(CallFailure::Final(error)) => return Err(error),
-                    Err(CallFailure::Elsewhere(error)) => missed = error,
+                    Err(CallFailure::TryNextHost(error)) => last_error = error,
                 }
             }
-            if addresses.len() == 1 || started.elapsed() >= LEADER_WAIT {
-                return Err(missed);
+            if addresses.len() == 1 || started.elapsed() >= LEADER_TIMEOUT {
+                return Err(last_error);
             }
-            std::thread::sleep(LEADER_CHECK);
+            std::thread::sleep(LEADER_RETRY_DELAY);
         }
     }
 
@@ -113,26 +120,32 @@
         let bytes = body.map(|body| body.to_string().into_bytes()).unwrap_or_default();
         let response = request.bytes(bytes).send().map_err(|error| {
             let message = format!("cannot reach {address}: {error}; check --operator");
-            CallFailure::Elsewhere(CommandError::refused(message))
+            CallFailure::TryNextHost(CommandError::refused(message))
         })?;
-        let ok = response.is_success();
-        let last = |error: &dyn std::fmt::Display| CallFailure::Final(CommandError::refused(error));
-        let text = response.text().map_err(|error| last(&error))?;
-        let value: Value = serde_json::from_str(&text).map_err(|error| last(&error))?;
-        if ok {
+        let succeeded = response.is_success();
+        let final_error =
+            |error: &dyn std::fmt::Display| CallFailure::Final(CommandError::refused(error));
+        let text = response.text().map_err(|error| final_error(&error))?;
+        let value: Value = serde_json::from_str(&text).map_err(|error| final_error(&error))?;
+        if succeeded {
             return Ok(value);
         }
-        let error = CommandError::refused(describe(&value));
-        let moves_on = value["code"].as_str().is_some_and(|code| MOVES_ON.contains(&code));
-        Err(if moves_on { CallFailure::Elsewhere(error) } else { CallFailure::Final(error) })
+        let error = CommandError::refused(format_error(&value));
+        let retry_elsewhere =
+            value["code"].as_str().is_some_and(|code| RETRY_ELSEWHERE_CODES.contains(&code));
+        Err(if retry_elsewhere {
+            CallFailure::TryNextHost(error)
+        } else {
+            CallFailure::Final(error)
+        })
     }
 }
 
-/// Why one control host gave no answer that counts.
+/// Failure of a call to one control host.
 enum CallFailure {
-    /// Another control host may answer.
-    Elsewhere(CommandError),
-    /// Every control host would say the same.
+    /// Another control host may succeed.
+    TryNextHost(CommandError),
+    /// Every control host would give the same answer.
     Final(CommandError),
 }
 
@@ -140,7 +153,7 @@
     format!("http://{address}{path}")
 }
 
-fn describe(value: &Value) -> String {
+fn format_error(value: &Value) -> String {
     let field = |name: &str| value.get(name).and_then(Value::as_str).unwrap_or_default();
     let details = value.get("details").map(|more| format!(" {more}")).unwrap_or_default();
     format!("{}: {}{details}", field("code"), field("message"))
--- a/crates/cli/src/cmd/quarantine.rs
+++ b/crates/cli/src/cmd/quarantine.rs
@@ -1,4 +1,5 @@
-//! `briartray quarantine`: requests that are refused since they crash endpoints.
+//! `briartray quarantine`: lists and releases requests that are refused because they crash
+//! endpoints.
 
 use gumdrop::Options;
 use serde_json::{Value, json};
@@ -15,9 +16,9 @@
 
 #[derive(Debug, Options)]
 enum QuarantineCommand {
-    #[options(help = "every request in quarantine, and why")]
+    #[options(help = "list quarantined requests with the rule and team and the number of crashes")]
     List(ListOptions),
-    #[options(help = "let a request run again")]
+    #[options(help = "release a request from quarantine")]
     Lift(LiftOptions),
 }
 
@@ -32,7 +33,7 @@
     struct LiftOptions {
         #[options(help = "print this help")]
         help: bool,
-        #[options(free, required, help = "print of the request, as the list shows it")]
+        #[options(free, required, help = "fingerprint of the request, from the column print of the list")]
         print: String,
     }
 }
@@ -41,13 +42,13 @@
     match &options.command {
         Some(QuarantineCommand::List(options)) => list(options),
         Some(QuarantineCommand::Lift(options)) => lift(options),
-        None => Err(CommandError::unusable("name a command: list or lift")),
+        None => Err(CommandError::unusable("missing subcommand: list or lift")),
     }
 }
 
 fn list(options: &ListOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let requests = port.get("/v1/quarantine")?;
+    let client = options.client();
+    let requests = client.get("/v1/quarantine")?;
     if options.output == OutputFormat::Json {
         println!("{requests}");
         return Ok(());
@@ -62,8 +63,8 @@
 }
 
 fn lift(options: &LiftOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let reply: Value = port.post("/v1/quarantine/lift", &json!({ "print": options.print }))?;
+    let client = options.client();
+    let reply: Value = client.post("/v1/quarantine/lift", &json!({ "print": options.print }))?;
     match options.output {
         OutputFormat::Json => println!("{reply}"),
         OutputFormat::Text => println!("{} may run again", options.print),
--- a/crates/cli/src/cmd/replay.rs
+++ b/crates/cli/src/cmd/replay.rs
@@ -1,4 +1,5 @@
-//! `briartray replay`: host events through the planner and the registry, and traces from a seed.
+//! `briartray replay`: replays traces of host events through the planner and the registry, and
+//! generates such traces from a seed.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
@@ -18,33 +19,33 @@
 pub(super) struct ReplayOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(free, help = "trace as JSON lines")]
+    #[options(free, help = "trace file in JSON Lines format")]
     trace: Option<String>,
     #[options(
         no_short,
-        help = "make a trace: parkland, hollis, design, large, mixed or small",
+        help = "generate a trace: parkland, hollis, design, large, mixed or small",
         meta = "SHAPE"
     )]
     generate: Option<String>,
-    #[options(no_short, help = "seed of a made trace", meta = "N", default = "1")]
+    #[options(no_short, help = "random seed of a generated trace", meta = "N", default = "1")]
     seed: u64,
-    #[options(no_short, help = "write the made trace here and replay nothing", meta = "FILE")]
+    #[options(no_short, help = "write the trace to this file and replay nothing", meta = "FILE")]
     out: Option<String>,
     #[options(
         no_short,
-        help = "set the planner against every plan on this many small traces",
+        help = "compare the planner with an exhaustive search on this many small traces",
         meta = "N"
     )]
     exhaustive: Option<u64>,
     #[options(
         no_short,
-        help = "replay only naive, unprepared or cost; all by default",
+        help = "planner to replay with: naive, unprepared or cost; all by default",
         meta = "PLANNER"
     )]
     planner: Option<PlannerKind>,
-    #[options(no_short, help = "cost of one second of one group being down", meta = "W")]
+    #[options(no_short, help = "cost per second of downtime of one group", meta = "W")]
     downtime_weight: Option<f64>,
-    #[options(no_short, help = "cost of one second of one stranded accelerator", meta = "W")]
+    #[options(no_short, help = "cost per second of one stranded accelerator", meta = "W")]
     stranded_weight: Option<f64>,
     #[options(no_short, help = "text or json", meta = "FORMAT")]
     output: OutputFormat,
@@ -52,7 +53,7 @@
 
 pub(super) fn run(options: &ReplayOptions) -> Result<(), CommandError> {
     if let Some(cases) = options.exhaustive {
-        search_cases(options.seed, cases);
+        compare_with_exhaustive(options.seed, cases);
         return Ok(());
     }
     let mut trace = load(options)?;
@@ -67,19 +68,20 @@
         OutputFormat::Json => println!("{}", json!(reports)),
         OutputFormat::Text => print_reports(&reports),
     }
-    // The others are there to be compared with; outcomes are stated for the planner by cost.
-    let judged = |report: &&ReplayReport| reports.len() == 1 || report.planner == PlannerKind::Cost;
-    match reports.iter().filter(judged).find(|report| !report.holds()) {
+    // Expected outcomes apply to the cost-based planner; the others are run for comparison.
+    let is_judged =
+        |report: &&ReplayReport| reports.len() == 1 || report.planner == PlannerKind::Cost;
+    match reports.iter().filter(is_judged).find(|report| !report.holds()) {
         Some(report) => Err(CommandError::refused(failures(report))),
         None => Ok(()),
     }
 }
 
-/// Hosts, events and actions of the small traces that every plan is tried on.
-const SMALL_CASE: (usize, usize, u32) = (6, 3, 3);
+/// Numbers of hosts and events in a small trace, and of actions in an exhaustively searched plan.
+const SMALL_TRACE_SIZE: (usize, usize, u32) = (6, 3, 3);
 
-fn search_cases(seed: u64, cases: u64) {
-    let (hosts, events, actions) = SMALL_CASE;
+fn compare_with_exhaustive(seed: u64, cases: u64) {
+    let (hosts, events, actions) = SMALL_TRACE_SIZE;
     let (mut best, mut planned, mut naive, mut worst) = (0.0, 0.0, 0.0, 1.0_f64);
     let mut complete = 0;
     for case in seed..seed + cases {
@@ -108,12 +110,14 @@
             HostTrace::read(BufReader::new(file))
                 .map_err(|error: TraceError| CommandError::unusable(format!("{path}: {error}")))
         }
-        (None, Some("small")) => Ok(generate_small_trace(options.seed, SMALL_CASE.0, SMALL_CASE.1)),
+        (None, Some("small")) => {
+            Ok(generate_small_trace(options.seed, SMALL_TRACE_SIZE.0, SMALL_TRACE_SIZE.1))
+        }
         (None, Some(shape)) => {
             let shape: TraceShape = shape.parse().map_err(CommandError::unusable)?;
             Ok(generate_trace(shape, options.seed))
         }
-        _ => Err(CommandError::unusable("name a trace, or a shape with --generate")),
+        _ => Err(CommandError::unusable("give either a trace file or a shape with --generate")),
     }
 }
 
@@ -121,7 +125,7 @@
     CommandError::unusable(format!("{path}: {error}; check the path"))
 }
 
-/// Replays with the clock of this machine as meter.
+/// Replays `trace`, measuring planning time by the wall clock.
 pub(super) fn replay(trace: &HostTrace, kind: PlannerKind) -> ReplayReport {
     let started = Instant::now();
     run_trace(trace, kind, &mut || started.elapsed())
@@ -170,10 +174,10 @@
 }
 
 fn failures(report: &ReplayReport) -> String {
-    let stated = report.outcomes.iter().filter(|outcome| !outcome.held).map(|outcome| {
+    let failed = report.outcomes.iter().filter(|outcome| !outcome.held).map(|outcome| {
         let stated = json!(outcome.stated);
-        format!("at {} ms: stated {stated}, measured {}", outcome.at_ms, outcome.measured)
+        format!("at {} ms: expected {stated}, measured {}", outcome.at_ms, outcome.measured)
     });
-    let texts: Vec<String> = stated.chain(report.violations.iter().cloned()).collect();
-    format!("{} of the outcomes differ: {}", texts.len(), texts.join("; "))
+    let texts: Vec<String> = failed.chain(report.violations.iter().cloned()).collect();
+    format!("{} outcomes or invariants failed: {}", texts.len(), texts.join("; "))
 }
--- a/crates/cli/src/cmd/rules/apply.rs
+++ b/crates/cli/src/cmd/rules/apply.rs
@@ -1,4 +1,4 @@
-//! `briartray rules apply`: replace the rules in force.
+//! `briartray rules apply`: replaces the rules in force.
 
 use briartray_node::new_change;
 use serde_json::json;
@@ -12,9 +12,9 @@
         help: bool,
         #[options(free, required, help = "rule document in YAML")]
         file: String,
-        #[options(no_short, help = "revision that must be in force", meta = "REVISION")]
+        #[options(no_short, help = "revision that has to be in force for the change to apply", meta = "REVISION")]
         expect: Option<u64>,
-        #[options(no_short, help = "change id of 32 hexadecimal digits, for a resend", meta = "ID")]
+        #[options(no_short, help = "change id of 32 hexadecimal digits, to retry a change", meta = "ID")]
         change: Option<String>,
     }
 }
@@ -22,10 +22,10 @@
 pub(super) fn run(options: &ApplyOptions) -> Result<(), CommandError> {
     let text = read_document(&options.file)?;
     let change = options.change.clone().unwrap_or_else(|| new_change().to_string());
-    let port = options.port();
+    let client = options.client();
     let body = json!({ "change": change, "expect": options.expect, "text": text });
-    let reply = port.post("/v1/rules", &body).map_err(|error| {
-        CommandError::refused(format!("{error} (change {change}; send it again with --change)"))
+    let reply = client.post("/v1/rules", &body).map_err(|error| {
+        CommandError::refused(format!("{error} (change {change}; retry it with --change)"))
     })?;
     let accepted = reply["outcome"] == "accepted";
     match options.output {
@@ -37,8 +37,8 @@
         return Ok(());
     }
     Err(CommandError::pending(format!(
-        "not in force everywhere yet: {} may still decide under older rules; wait on with \
-         --change {change}, or strike off entries that are gone with briartray entries forget",
+        "committed but not yet in force everywhere: {} may still use older rules; retry with \
+         --change {change}, or remove entries that no longer run with briartray entries forget",
         reply["waiting_for"]
     )))
 }
--- a/crates/cli/src/cmd/rules/check.rs
+++ b/crates/cli/src/cmd/rules/check.rs
@@ -1,4 +1,4 @@
-//! `briartray rules check`: look for mistakes in a document, nothing is sent.
+//! `briartray rules check`: checks a rule document locally, without sending it.
 
 use briartray_model::rules::{FindingLevel, RuleFinding, check_rules};
 use gumdrop::Options;
--- a/crates/cli/src/cmd/rules/explain.rs
+++ b/crates/cli/src/cmd/rules/explain.rs
@@ -1,4 +1,4 @@
-//! `briartray rules explain`: which rule decides a given case.
+//! `briartray rules explain`: shows which rule decides a given request or placement.
 
 use briartray_model::names::RevisionNumber;
 use briartray_model::rules::{DecisionFacts, DecisionKind, RuleBook, RuleStep, RuleVerdict};
@@ -16,16 +16,16 @@
     file: String,
     #[options(
         no_short,
-        help = "admit, route, retry, place or stop",
+        help = "kind of decision: admit, route, retry, place or stop",
         meta = "KIND",
         default = "admit"
     )]
     kind: String,
     #[options(no_short, help = "team of the caller", meta = "NAME")]
     team: Option<String>,
-    #[options(no_short, help = "service", meta = "NAME")]
+    #[options(no_short, help = "name of the service", meta = "NAME")]
     service: Option<String>,
-    #[options(no_short, help = "model", meta = "NAME")]
+    #[options(no_short, help = "name of the model", meta = "NAME")]
     model: Option<String>,
     #[options(no_short, help = "request path", meta = "PATH")]
     path: Option<String>,
@@ -42,12 +42,13 @@
 }
 
 pub(super) fn run(options: &ExplainOptions) -> Result<(), CommandError> {
-    let kind = DecisionKind::parse(&options.kind)
-        .ok_or_else(|| CommandError::unusable("--kind takes admit, route, retry, place or stop"))?;
+    let kind = DecisionKind::parse(&options.kind).ok_or_else(|| {
+        CommandError::unusable("unknown --kind; use admit, route, retry, place or stop")
+    })?;
     let text = read_document(&options.file)?;
     let book = RuleBook::build(RevisionNumber::default(), &text)
         .map_err(|error| CommandError::unusable(format!("{}: {error}", options.file)))?;
-    let facts = facts_of(options);
+    let facts = decision_facts(options);
     let steps = book.explain(kind, &facts);
     let action = action_json(&book, kind, &facts);
     match options.output {
@@ -57,7 +58,7 @@
     Ok(())
 }
 
-fn facts_of(options: &ExplainOptions) -> DecisionFacts<'_> {
+fn decision_facts(options: &ExplainOptions) -> DecisionFacts<'_> {
     DecisionFacts {
         team: options.team.as_deref(),
         service: options.service.as_deref(),
--- a/crates/cli/src/cmd/rules/mod.rs
+++ b/crates/cli/src/cmd/rules/mod.rs
@@ -1,4 +1,4 @@
-//! `briartray rules`: check, explain, apply and show rule documents.
+//! `briartray rules`: checks, explains, applies and shows rule documents.
 
 mod apply;
 mod check;
@@ -19,9 +19,9 @@
 
 #[derive(Debug, Options)]
 enum RulesCommand {
-    #[options(help = "look for mistakes in a document")]
+    #[options(help = "check a document for mistakes")]
     Check(check::CheckOptions),
-    #[options(help = "show which rule decides a given case, and why the earlier ones do not")]
+    #[options(help = "show which rule decides a given case and why earlier rules do not")]
     Explain(explain::ExplainOptions),
     #[options(help = "replace the rules in force")]
     Apply(apply::ApplyOptions),
@@ -35,11 +35,11 @@
         Some(RulesCommand::Explain(options)) => explain::run(options),
         Some(RulesCommand::Apply(options)) => apply::run(options),
         Some(RulesCommand::Show(options)) => show::run(options),
-        None => Err(CommandError::unusable("name a command: check, explain, apply or show")),
+        None => Err(CommandError::unusable("missing subcommand: check, explain, apply or show")),
     }
 }
 
-/// The text of the document in `file`.
+/// Reads a rule document.
 fn read_document(file: &str) -> Result<String, CommandError> {
     std::fs::read_to_string(file)
         .map_err(|error| CommandError::unusable(format!("{file}: {error}; check the path")))
--- a/crates/cli/src/cmd/rules/show.rs
+++ b/crates/cli/src/cmd/rules/show.rs
@@ -1,4 +1,4 @@
-//! `briartray rules show`: the rules in force.
+//! `briartray rules show`: shows the rules in force.
 
 use crate::cmd::{CommandError, OutputFormat};
 
@@ -10,8 +10,8 @@
 }
 
 pub(super) fn run(options: &ShowOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let rules = port.get("/v1/rules")?;
+    let client = options.client();
+    let rules = client.get("/v1/rules")?;
     match options.output {
         OutputFormat::Json => println!("{rules}"),
         OutputFormat::Text => {
--- a/crates/cli/src/cmd/stand_in.rs
+++ b/crates/cli/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `briartray stand-in`: an engine, a plain service or a weight store to try things on.
+//! `briartray stand-in`: runs a stand-in engine, plain service or weight store for tests and trials.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 
 #[derive(Debug, Options)]
 enum StandInCommand {
-    #[options(help = "a model engine")]
+    #[options(help = "run a model engine")]
     Engine(EngineOptions),
-    #[options(help = "a plain service that counts its runs")]
+    #[options(help = "run a plain service that records the calls it runs")]
     Service(ServiceOptions),
-    #[options(help = "a weight store with a bounded rate")]
+    #[options(help = "run a weight store with a limited transfer rate")]
     Weights(WeightsOptions),
 }
 
@@ -33,38 +33,68 @@
 struct EngineOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "where it listens", meta = "ADDRESS", default = "127.0.0.1:9000")]
+    #[options(no_short, help = "listening address", meta = "ADDRESS", default = "127.0.0.1:9000")]
     listen: SocketAddr,
-    #[options(no_short, help = "time of one step in milliseconds", meta = "MS", default = "8")]
+    #[options(no_short, help = "duration of one step in milliseconds", meta = "MS", default = "8")]
     step_ms: u64,
-    #[options(no_short, help = "requests that one step can hold", meta = "N", default = "256")]
+    #[options(
+        no_short,
+        help = "maximum number of requests in one step",
+        meta = "N",
+        default = "256"
+    )]
     batch: usize,
     #[options(
         no_short,
-        help = "microseconds that a prompt token adds when not cached",
+        help = "microseconds per prompt token that is not cached",
         meta = "US",
         default = "20"
     )]
     prefill_us: u64,
-    #[options(no_short, help = "blocks in the prefix cache", meta = "N", default = "4096")]
+    #[options(
+        no_short,
+        help = "capacity of the prefix cache in blocks",
+        meta = "N",
+        default = "4096"
+    )]
     cache_blocks: usize,
-    #[options(no_short, help = "delay of cache events", meta = "MS", default = "200")]
+    #[options(
+        no_short,
+        help = "delay of cache events in milliseconds",
+        meta = "MS",
+        default = "200"
+    )]
     event_delay_ms: u64,
-    #[options(no_short, help = "share of cache events lost", meta = "SHARE", default = "0.02")]
+    #[options(
+        no_short,
+        help = "share of cache events that are lost, 0 to 1",
+        meta = "SHARE",
+        default = "0.02"
+    )]
     event_loss: f64,
-    #[options(no_short, help = "age of load reports", meta = "MS", default = "200")]
+    #[options(
+        no_short,
+        help = "age of load reports in milliseconds",
+        meta = "MS",
+        default = "200"
+    )]
     load_lag_ms: u64,
-    #[options(no_short, help = "refuse orders with an old fencing number")]
+    #[options(no_short, help = "reject orders with an outdated fencing number")]
     checks_fencing: bool,
-    #[options(no_short, help = "time of an order to load", meta = "MS", default = "500")]
+    #[options(
+        no_short,
+        help = "duration of a load order in milliseconds",
+        meta = "MS",
+        default = "500"
+    )]
     load_ms: u64,
-    #[options(no_short, help = "weight store that loads read from", meta = "ADDRESS")]
+    #[options(no_short, help = "weight store that weights are loaded from", meta = "ADDRESS")]
     weights: Option<SocketAddr>,
-    #[options(no_short, help = "KIND:SHARE[:MS]; may be given again", meta = "FAULT")]
+    #[options(no_short, help = "fault as KIND:SHARE[:MS]; repeatable", meta = "FAULT")]
     fault: Vec<FaultRule>,
-    #[options(no_short, help = "prompt that ends the process which runs it", meta = "TEXT")]
+    #[options(no_short, help = "prompt that makes the process exit", meta = "TEXT")]
     fatal_prompt: Option<String>,
-    #[options(no_short, help = "seed of what is drawn by chance", meta = "N", default = "1")]
+    #[options(no_short, help = "random seed", meta = "N", default = "1")]
     seed: u64,
 }
 
@@ -72,13 +102,13 @@
 struct ServiceOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "where it listens", meta = "ADDRESS", default = "127.0.0.1:9001")]
+    #[options(no_short, help = "listening address", meta = "ADDRESS", default = "127.0.0.1:9001")]
     listen: SocketAddr,
-    #[options(no_short, help = "time of one call in milliseconds", meta = "MS", default = "2")]
+    #[options(no_short, help = "duration of one call in milliseconds", meta = "MS", default = "2")]
     work_ms: u64,
-    #[options(no_short, help = "KIND:SHARE[:MS]; may be given again", meta = "FAULT")]
+    #[options(no_short, help = "fault as KIND:SHARE[:MS]; repeatable", meta = "FAULT")]
     fault: Vec<FaultRule>,
-    #[options(no_short, help = "seed of the faults", meta = "N", default = "1")]
+    #[options(no_short, help = "random seed of the faults", meta = "N", default = "1")]
     seed: u64,
 }
 
@@ -86,13 +116,18 @@
 struct WeightsOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, help = "where it listens", meta = "ADDRESS", default = "127.0.0.1:9002")]
+    #[options(no_short, help = "listening address", meta = "ADDRESS", default = "127.0.0.1:9002")]
     listen: SocketAddr,
-    #[options(no_short, help = "loads served at one time", meta = "N", default = "4")]
+    #[options(no_short, help = "maximum number of concurrent loads", meta = "N", default = "4")]
     loads: usize,
-    #[options(no_short, help = "bytes a second", meta = "N", default = "8388608")]
+    #[options(
+        no_short,
+        help = "transfer rate in bytes per second",
+        meta = "N",
+        default = "8388608"
+    )]
     rate: u64,
-    #[options(no_short, help = "bytes of a weight file", meta = "N", default = "1048576")]
+    #[options(no_short, help = "size of a weight file in bytes", meta = "N", default = "1048576")]
     bytes: usize,
 }
 
@@ -101,13 +136,13 @@
         Some(StandInCommand::Engine(options)) => run_engine(options),
         Some(StandInCommand::Service(options)) => run_service(options),
         Some(StandInCommand::Weights(options)) => run_weights(options),
-        None => Err(CommandError::unusable("name a stand-in: engine, service or weights")),
+        None => Err(CommandError::unusable("missing subcommand: engine, service or weights")),
     }
 }
 
 fn run_engine(options: &EngineOptions) -> Result<(), CommandError> {
     if !(0.0..=1.0).contains(&options.event_loss) {
-        return Err(CommandError::unusable("--event-loss lies between 0 and 1"));
+        return Err(CommandError::unusable("--event-loss must be between 0 and 1"));
     }
     let delay = Duration::from_millis(options.event_delay_ms);
     let settings = EngineSettings::new(options.listen)
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `briartray status`: what control knows, in short.
+//! `briartray status`: shows the status of a control host.
 
 use super::{CommandError, OutputFormat};
 
@@ -10,8 +10,8 @@
 }
 
 pub(super) fn run(options: &StatusOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let status = port.get("/v1/status")?;
+    let client = options.client();
+    let status = client.get("/v1/status")?;
     match (options.output, status.as_object()) {
         (OutputFormat::Text, Some(fields)) => {
             for (name, value) in fields {
--- a/crates/cli/src/cmd/stop.rs
+++ b/crates/cli/src/cmd/stop.rs
@@ -1,4 +1,4 @@
-//! `briartray stop`: plan, list and cancel planned stops.
+//! `briartray stop`: plans, lists and cancels planned stops.
 
 use briartray_node::new_change;
 use gumdrop::Options;
@@ -16,11 +16,11 @@
 
 #[derive(Debug, Options)]
 enum StopCommand {
-    #[options(help = "plan a stop of a host, group, zone or provider")]
+    #[options(help = "plan the stop of a host, group, zone or provider")]
     Plan(PlanOptions),
-    #[options(help = "list planned stops and what they wait for")]
+    #[options(help = "list planned stops and what each is waiting for")]
     List(ListOptions),
-    #[options(help = "take a planned stop back")]
+    #[options(help = "cancel a planned stop")]
     Cancel(CancelOptions),
 }
 
@@ -36,7 +36,7 @@
         zone: Option<String>,
         #[options(no_short, help = "provider to stop", meta = "PROVIDER")]
         provider: Option<String>,
-        #[options(no_short, help = "change id of 32 hexadecimal digits, for a resend", meta = "ID")]
+        #[options(no_short, help = "change id of 32 hexadecimal digits, to retry a change", meta = "ID")]
         change: Option<String>,
     }
 }
@@ -52,7 +52,7 @@
     struct CancelOptions {
         #[options(help = "print this help")]
         help: bool,
-        #[options(free, required, help = "number of the stop")]
+        #[options(free, required, help = "number of the planned stop")]
         stop: u64,
     }
 }
@@ -62,17 +62,17 @@
         Some(StopCommand::Plan(options)) => plan(options),
         Some(StopCommand::List(options)) => list(options),
         Some(StopCommand::Cancel(options)) => cancel(options),
-        None => Err(CommandError::unusable("name a command: plan, list or cancel")),
+        None => Err(CommandError::unusable("missing subcommand: plan, list or cancel")),
     }
 }
 
 fn plan(options: &PlanOptions) -> Result<(), CommandError> {
-    let target = target_of(options)?;
+    let target = stop_target(options)?;
     let change = options.change.clone().unwrap_or_else(|| new_change().to_string());
-    let port = options.port();
+    let client = options.client();
     let body = json!({ "change": change, "target": target });
-    let reply = port.post("/v1/stops", &body).map_err(|error| {
-        CommandError::refused(format!("{error} (change {change}; send it again with --change)"))
+    let reply = client.post("/v1/stops", &body).map_err(|error| {
+        CommandError::refused(format!("{error} (change {change}; retry it with --change)"))
     })?;
     match options.output {
         OutputFormat::Json => println!("{reply}"),
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-fn target_of(options: &PlanOptions) -> Result<Value, CommandError> {
+fn stop_target(options: &PlanOptions) -> Result<Value, CommandError> {
     let named = [
         options.host.as_ref().map(|host| json!({ "host": host })),
         options.group.map(|group| json!({ "group": group })),
@@ -91,13 +91,15 @@
     let mut targets = named.into_iter().flatten();
     match (targets.next(), targets.next()) {
         (Some(target), None) => Ok(target),
-        _ => Err(CommandError::unusable("name one of --host, --group, --zone and --provider")),
+        _ => Err(CommandError::unusable(
+            "give exactly one of --host, --group, --zone and --provider",
+        )),
     }
 }
 
 fn list(options: &ListOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let reply = port.get("/v1/stops")?;
+    let client = options.client();
+    let reply = client.get("/v1/stops")?;
     match options.output {
         OutputFormat::Json => println!("{reply}"),
         OutputFormat::Text => print_stops(&reply),
@@ -123,8 +125,8 @@
 }
 
 fn cancel(options: &CancelOptions) -> Result<(), CommandError> {
-    let port = options.port();
-    let reply = port.post("/v1/stops/cancel", &json!({ "stop": options.stop }))?;
+    let client = options.client();
+    let reply = client.post("/v1/stops/cancel", &json!({ "stop": options.stop }))?;
     match options.output {
         OutputFormat::Json => println!("{reply}"),
         OutputFormat::Text => println!("stop {} is cancelled", options.stop),
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! A whole fleet on loopback in one process: control, entry, agents and stand-in engines.
+//! A complete fleet on loopback in one process: control host, entry, agents, and stand-in engines and
+//! services.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -19,70 +20,70 @@
 use snafu::Snafu;
 use tempfile::TempDir;
 
-/// Rules that a demonstration starts with.
+/// Default rule document of a demonstration.
 const DEMO_RULES: &str = include_str!("../../../examples/demo/rules.yaml");
 
-/// Secret between the processes of a demonstration; it never leaves loopback.
+/// Cluster token of a demonstration; it is used on loopback only.
 const DEMO_TOKEN: &str = "demonstration-only";
 
-/// Service of the engines.
+/// Service name of the engines.
 const ENGINE_SERVICE: &str = "desk";
 
-/// Service of the plain services.
+/// Service name of the plain services.
 const PLAIN_SERVICE: &str = "ledger";
 
-/// How often readiness is looked at.
-const READY_CHECK: Duration = Duration::from_millis(20);
+/// Interval between readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a demonstration could not start.
 #[derive(Debug, Snafu)]
 pub enum DemoError {
-    /// A role could not start.
+    /// A role of the daemon could not start.
     #[snafu(display("{source}"), context(false))]
     Daemon {
-        /// Why.
+        /// Cause.
         source: DaemonError,
     },
     /// A stand-in could not start.
     #[snafu(display("{source}"), context(false))]
     Listen {
-        /// Why.
+        /// Cause.
         source: ListenError,
     },
-    /// Files or ports are not to be had.
-    #[snafu(display("{source}; free a port or name another data folder"), context(false))]
+    /// A file or port was unavailable.
+    #[snafu(display("{source}; free a port or choose another data folder"), context(false))]
     System {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What a demonstration consists of.
+/// Composition of a demonstration fleet.
 #[derive(Debug, Clone)]
 pub struct DemoPlan {
-    /// Where callers connect.
+    /// Listening address for callers.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// Listening address for operators.
     pub operator: SocketAddr,
-    /// Folder for durable state; a temporary one when absent.
+    /// Folder for durable state; a temporary folder if absent.
     pub data_folder: Option<PathBuf>,
-    /// Engines, each on a host of its own.
+    /// Number of engines, each on a host of its own.
     pub engines: u32,
-    /// Plain services, each on a host of its own.
+    /// Number of plain services, each on a host of its own.
     pub services: u32,
-    /// Time of one engine step.
+    /// Duration of one engine step.
     pub step: Duration,
-    /// Requests that one engine step can hold.
+    /// Maximum number of requests in one engine step.
     pub batch: usize,
-    /// Blocks that the prefix cache of one engine holds.
+    /// Capacity of the prefix cache of each engine, in blocks.
     pub cache_blocks: usize,
-    /// Faults of every engine.
+    /// Faults that every engine injects.
     pub engine_faults: FaultPlan,
-    /// Faults of every plain service.
+    /// Faults that every plain service injects.
     pub service_faults: FaultPlan,
-    /// File that every process writes its spans to; none when absent.
+    /// File that every node appends its trace spans to; no tracing if absent.
     pub trace_file: Option<PathBuf>,
-    /// Rule document.
+    /// Rule document in YAML.
     pub rules: String,
 }
 
@@ -105,10 +106,10 @@
     }
 }
 
-/// A running demonstration.
+/// A running demonstration fleet.
 pub struct DemoFleet {
-    /// Control and entry in one.
-    front: RunningDaemon,
+    /// Daemon with both the control role and the entry role.
+    control_entry: RunningDaemon,
     agents: Vec<RunningDaemon>,
     engines: Vec<StandinEngine>,
     services: Vec<StandinService>,
@@ -117,17 +118,18 @@
 }
 
 impl DemoFleet {
-    /// Starts everything that `plan` names.
+    /// Starts all parts of `plan`.
     ///
     /// # Errors
-    /// A `DemoError` that names the remedy.
+    /// `DemoError` if a role or stand-in cannot start, or a file or port is unavailable.
     pub fn start(plan: &DemoPlan) -> Result<Self, DemoError> {
-        let (folder, temporary) = make_folder(plan.data_folder.as_deref())?;
+        let (folder, temporary) = create_data_folder(plan.data_folder.as_deref())?;
         let rules = folder.join("first-rules.yaml");
         std::fs::write(&rules, &plan.rules)?;
         let peer = ControlPeer { node: NodeName::new("front"), link: free_address()? };
         let cluster = ClusterSettings { token: DEMO_TOKEN.to_owned(), control: vec![peer.clone()] };
-        let front = RunningDaemon::start(&front_settings(plan, &cluster, &peer, &folder, &rules))?;
+        let control_entry =
+            RunningDaemon::start(&control_entry_settings(plan, &cluster, &peer, &folder, &rules))?;
         let mut engines = Vec::new();
         let mut agents = Vec::new();
         for number in 0..plan.engines {
@@ -154,56 +156,58 @@
             agents.push(RunningDaemon::start(&agent_settings(plan, &cluster, number, endpoint))?);
             services.push(service);
         }
-        Ok(Self { front, agents, engines, services, folder, _temporary: temporary })
+        Ok(Self { control_entry, agents, engines, services, folder, _temporary: temporary })
     }
 
-    /// Waits until a request to every service would be taken; `false` when `limit` passes first.
+    /// Waits until the entry accepts requests to every service; `false` if it does not within
+    /// `limit`.
     pub fn wait_until_ready(&self, limit: Duration) -> bool {
         let started = Instant::now();
         while started.elapsed() < limit {
-            if self.front.entry.as_ref().is_some_and(|entry| self.serves_all(entry)) {
+            if self.control_entry.entry.as_ref().is_some_and(|entry| self.serves_all(entry)) {
                 return true;
             }
-            std::thread::sleep(READY_CHECK);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         false
     }
 
-    /// Whether every service that has hosts here has a whole group.
+    /// Whether the entry is ready and every service with hosts has a whole group.
     fn serves_all(&self, entry: &EntryNode) -> bool {
         let hosted = [(ENGINE_SERVICE, self.engines.len()), (PLAIN_SERVICE, self.services.len())];
         let served = hosted.iter().all(|(name, hosts)| *hosts == 0 || entry.whole_groups(name) > 0);
         served && entry.is_ready()
     }
 
-    /// Where callers connect.
+    /// Address of the entry, where callers connect.
     pub fn caller_address(&self) -> SocketAddr {
-        let entry = self.front.entry.as_ref().expect("a demonstration has an entry");
+        let entry = self.control_entry.entry.as_ref().expect("a demonstration has an entry");
         entry.address()
     }
 
-    /// Where operators connect.
+    /// Address of the operators' port.
     pub fn operator_address(&self) -> SocketAddr {
-        let control = self.front.control.as_ref().expect("a demonstration has a control role");
+        let control =
+            self.control_entry.control.as_ref().expect("a demonstration has a control role");
         control.operator_address()
     }
 
-    /// Where the engines listen.
+    /// Listening addresses of the engines.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         self.engines.iter().map(StandinEngine::address).collect()
     }
 
-    /// Where the plain services listen.
+    /// Listening addresses of the plain services.
     pub fn service_addresses(&self) -> Vec<SocketAddr> {
         self.services.iter().map(StandinService::address).collect()
     }
 
-    /// The engines, to ask what they ran.
+    /// Stand-in engines, whose run logs can be read.
     pub fn engines(&self) -> &[StandinEngine] {
         &self.engines
     }
 
-    /// The plain services, to ask what they ran.
+    /// Stand-in services, whose run logs can be read.
     pub fn services(&self) -> &[StandinService] {
         &self.services
     }
@@ -213,21 +217,21 @@
         &self.folder
     }
 
-    /// Stops the agent with this number, as if its process had been killed.
+    /// Stops the agent with this number without draining, as if its process had been killed.
     pub fn stop_agent(&self, number: usize) {
         if let Some(agent) = self.agents.get(number) {
             agent.stop();
         }
     }
 
-    /// Why the demonstration ended by itself, if it did.
+    /// Reason why the control host has failed, if it has.
     pub fn failure(&self) -> Option<&str> {
-        self.front.failure()
+        self.control_entry.failure()
     }
 
-    /// Stops everything.
+    /// Stops all nodes and stand-ins.
     pub fn stop(&self) {
-        self.front.stop();
+        self.control_entry.stop();
         for agent in &self.agents {
             agent.stop();
         }
@@ -240,8 +244,8 @@
     }
 }
 
-fn make_folder(given: Option<&Path>) -> std::io::Result<(PathBuf, Option<TempDir>)> {
-    match given {
+fn create_data_folder(requested: Option<&Path>) -> std::io::Result<(PathBuf, Option<TempDir>)> {
+    match requested {
         Some(folder) => {
             std::fs::create_dir_all(folder)?;
             Ok((folder.to_owned(), None))
@@ -253,7 +257,7 @@
     }
 }
 
-fn front_settings(
+fn control_entry_settings(
     plan: &DemoPlan,
     cluster: &ClusterSettings,
     peer: &ControlPeer,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's and developer's command line.
+//! The `briartray` command line for operators and developers.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/trial/caller.rs
+++ b/crates/cli/src/trial/caller.rs
@@ -1,5 +1,5 @@
-//! Callers that send a call that may not be repeated, and send it again to another entry when
-//! their connection breaks.
+//! Callers that send calls with an `Idempotency-Key` and retry them through another entry when the
+//! connection breaks or the outcome is unknown.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,108 +14,110 @@
 
 use super::process::TrialError;
 
-/// How long one answer is waited for.
-const ANSWER_WAIT: Duration = Duration::from_secs(20);
+/// Time limit for one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Times a call is sent again while its outcome is not known.
-const RESENDS: u32 = 3;
+/// Maximum number of retries of a call whose outcome is unknown.
+const MAX_RETRIES: u32 = 3;
 
-/// Wait before a call is sent again.
-const RESEND_WAIT: Duration = Duration::from_millis(300);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What a caller knows in the end.
+/// Final outcome of a call as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum KnownEnd {
+enum ReportedOutcome {
     Answered,
-    Wrong,
+    Crossed,
     NotRun,
     Ran,
     Unknown,
     Lost,
 }
 
-/// How one call ended.
-struct KeyedEnd {
+/// Final result of one call.
+struct KeyedResult {
     key: String,
-    end: KnownEnd,
-    /// Code of the last refusal, if there was one.
+    outcome: ReportedOutcome,
+    /// Code of the last refusal, if any.
     code: Option<String>,
 }
 
-/// Calls under keys, each on a thread of its own.
+/// Sends keyed calls, each on a thread of its own.
 pub struct KeyedCaller {
     entries: Vec<SocketAddr>,
-    ends: Arc<Mutex<Vec<KeyedEnd>>>,
+    results: Arc<Mutex<Vec<KeyedResult>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Calls by what their callers know, against the run logs.
+/// Counts of keyed calls by reported outcome, checked against the run logs.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct KeyedTally {
     /// Calls sent.
     pub sent: u64,
-    /// Answered with their own answer.
+    /// Calls that got their own answer.
     pub answered: u64,
-    /// Told `not_run`.
+    /// Calls reported as `not_run`.
     pub refused: u64,
-    /// Told `unknown`, or `ran` without an answer.
+    /// Calls reported as `unknown`, or as `ran` without an answer.
     pub unknown: u64,
-    /// Told nothing by any entry.
+    /// Calls without any response.
     pub lost: u64,
-    /// Answers that belong to another call.
+    /// Calls that got the answer to another call.
     pub crossed: u64,
     /// Keys that ran more than once.
     pub doubled: u64,
-    /// Calls that ran although the caller was told `not_run`, or did not although it was answered.
+    /// Calls with a false outcome: reported as `not_run` but run, or answered or reported as `ran`
+    /// but never run.
     pub untrue: u64,
-    /// Calls that ended in a refusal, by its code.
+    /// Number of refused calls by refusal code.
     pub codes: SortedTable<String, u64>,
 }
 
 impl KeyedCaller {
-    /// Callers that start with the first entry and go on to the others.
+    /// Creates callers that try the entries in the given order, starting with the first.
     pub fn new(entries: &[SocketAddr]) -> Self {
-        Self { entries: entries.to_vec(), ends: Arc::default(), threads: Vec::new() }
+        Self { entries: entries.to_vec(), results: Arc::default(), threads: Vec::new() }
     }
 
-    /// Sends one call under `key`.
+    /// Starts one call with `key` on a new thread.
     pub fn start(&mut self, key: &str) {
-        let (entries, ends, key) = (self.entries.clone(), Arc::clone(&self.ends), key.to_owned());
+        let (entries, results, key) =
+            (self.entries.clone(), Arc::clone(&self.results), key.to_owned());
         self.threads.push(std::thread::spawn(move || {
-            let end = call_until_known(&entries, key);
-            ends.lock().unwrap_or_else(PoisonError::into_inner).push(end);
+            let result = call_until_known(&entries, key);
+            results.lock().unwrap_or_else(PoisonError::into_inner).push(result);
         }));
     }
 
-    /// Waits until every call that was started has come to its end.
+    /// Waits for every started call to finish.
     ///
     /// # Errors
-    /// `TrialError::Load` when a caller's thread failed.
+    /// `TrialError::Load` if a caller thread panicked.
     pub fn wait(&mut self) -> Result<(), TrialError> {
         for thread in self.threads.drain(..) {
             if thread.join().is_err() {
-                return Err(TrialError::Load { detail: "a caller's thread failed".to_owned() });
+                return Err(TrialError::Load { detail: "a caller thread panicked".to_owned() });
             }
         }
         Ok(())
     }
 
-    /// Waits for every call and sets what callers know against what the services ran.
+    /// Waits for every call and compares the reported outcomes with the run logs of `services`.
     ///
     /// # Errors
-    /// `TrialError::Load` when a caller's thread failed or a run log cannot be read.
+    /// `TrialError::Load` if a caller thread panicked or a run log cannot be read.
     pub fn finish(mut self, services: &[SocketAddr]) -> Result<KeyedTally, TrialError> {
         self.wait()?;
         let mut runs = Vec::new();
         for service in services {
             runs.extend(read_runs(*service)?);
         }
-        let ends = self.ends.lock().unwrap_or_else(PoisonError::into_inner);
+        let results = self.results.lock().unwrap_or_else(PoisonError::into_inner);
         let mut tally = KeyedTally::default();
-        for end in ends.iter() {
-            let count = runs.iter().filter(|run| run.key.as_ref() == Some(&end.key)).count();
-            tally.add(end.end, count);
-            if let Some(code) = &end.code {
+        for result in results.iter() {
+            let count = runs.iter().filter(|run| run.key.as_ref() == Some(&result.key)).count();
+            tally.add(result.outcome, count);
+            if let Some(code) = &result.code {
                 *tally.codes.get_or_insert_with(code.clone(), || 0) += 1;
             }
         }
@@ -124,49 +126,49 @@
 }
 
 impl KeyedTally {
-    fn add(&mut self, end: KnownEnd, runs: usize) {
+    fn add(&mut self, outcome: ReportedOutcome, runs: usize) {
         self.sent += 1;
         self.doubled += u64::from(runs > 1);
-        let untrue = match end {
-            KnownEnd::Answered | KnownEnd::Ran => runs == 0,
-            KnownEnd::NotRun => runs > 0,
-            KnownEnd::Wrong | KnownEnd::Unknown | KnownEnd::Lost => false,
+        let untrue = match outcome {
+            ReportedOutcome::Answered | ReportedOutcome::Ran => runs == 0,
+            ReportedOutcome::NotRun => runs > 0,
+            ReportedOutcome::Crossed | ReportedOutcome::Unknown | ReportedOutcome::Lost => false,
         };
         self.untrue += u64::from(untrue);
-        *match end {
-            KnownEnd::Answered => &mut self.answered,
-            KnownEnd::Wrong => &mut self.crossed,
-            KnownEnd::NotRun => &mut self.refused,
-            KnownEnd::Ran | KnownEnd::Unknown => &mut self.unknown,
-            KnownEnd::Lost => &mut self.lost,
+        *match outcome {
+            ReportedOutcome::Answered => &mut self.answered,
+            ReportedOutcome::Crossed => &mut self.crossed,
+            ReportedOutcome::NotRun => &mut self.refused,
+            ReportedOutcome::Ran | ReportedOutcome::Unknown => &mut self.unknown,
+            ReportedOutcome::Lost => &mut self.lost,
         } += 1;
     }
 }
 
-fn call_until_known(entries: &[SocketAddr], key: String) -> KeyedEnd {
-    let mut last = KeyedEnd { key, end: KnownEnd::Lost, code: None };
-    let mut unknown_left = RESENDS;
-    for entry in entries.iter().cycle().take(entries.len() * (RESENDS as usize + 1)) {
-        if let Some((end, code)) = call_once(*entry, &last.key) {
-            last.end = end;
-            last.code = code;
-            if end != KnownEnd::Unknown || unknown_left == 0 {
-                return last;
+fn call_until_known(entries: &[SocketAddr], key: String) -> KeyedResult {
+    let mut result = KeyedResult { key, outcome: ReportedOutcome::Lost, code: None };
+    let mut retries_left = MAX_RETRIES;
+    for entry in entries.iter().cycle().take(entries.len() * (MAX_RETRIES as usize + 1)) {
+        if let Some((outcome, code)) = call_once(*entry, &result.key) {
+            result.outcome = outcome;
+            result.code = code;
+            if outcome != ReportedOutcome::Unknown || retries_left == 0 {
+                return result;
             }
-            unknown_left -= 1;
+            retries_left -= 1;
         }
-        std::thread::sleep(RESEND_WAIT);
+        std::thread::sleep(RETRY_DELAY);
     }
-    last
+    result
 }
 
-/// Sends the call once; `None` when the connection brought no answer.
-fn call_once(entry: SocketAddr, key: &str) -> Option<(KnownEnd, Option<String>)> {
+/// Sends the call once; `None` if the connection fails or brings no JSON answer.
+fn call_once(entry: SocketAddr, key: &str) -> Option<(ReportedOutcome, Option<String>)> {
     let body = format!("confirm {key}");
     let response = attohttpc::post(format!("http://{entry}/services/ledger/confirm"))
         .connect_timeout(Duration::from_secs(1))
-        .read_timeout(ANSWER_WAIT)
-        .timeout(ANSWER_WAIT)
+        .read_timeout(ANSWER_TIMEOUT)
+        .timeout(ANSWER_TIMEOUT)
         .header("idempotency-key", key)
         .bytes(body.clone().into_bytes())
         .send()
@@ -174,15 +176,18 @@
     let status = response.status().as_u16();
     let value: Value = serde_json::from_slice(&response.bytes().ok()?).ok()?;
     if status == 200 {
-        let own = value["text"].as_str() == Some(&expected_text(&body, 1));
-        return Some((if own { KnownEnd::Answered } else { KnownEnd::Wrong }, None));
+        let is_own = value["text"].as_str() == Some(&expected_text(&body, 1));
+        return Some((
+            if is_own { ReportedOutcome::Answered } else { ReportedOutcome::Crossed },
+            None,
+        ));
     }
-    let end = match value["outcome"].as_str() {
-        Some("not_run") => KnownEnd::NotRun,
-        Some("ran") => KnownEnd::Ran,
-        _ => KnownEnd::Unknown,
+    let outcome = match value["outcome"].as_str() {
+        Some("not_run") => ReportedOutcome::NotRun,
+        Some("ran") => ReportedOutcome::Ran,
+        _ => ReportedOutcome::Unknown,
     };
-    Some((end, value["code"].as_str().map(str::to_owned)))
+    Some((outcome, value["code"].as_str().map(str::to_owned)))
 }
 
 #[derive(Deserialize)]
@@ -191,12 +196,12 @@
 }
 
 fn read_runs(service: SocketAddr) -> Result<Vec<RunRecord>, TrialError> {
-    let unreadable = |detail: String| TrialError::Load { detail };
+    let load_error = |detail: String| TrialError::Load { detail };
     let response = attohttpc::get(format!("http://{service}/stand-in/runs")).send();
     let body = response
         .and_then(attohttpc::Response::bytes)
-        .map_err(|error| unreadable(error.to_string()))?;
+        .map_err(|error| load_error(error.to_string()))?;
     let list: RunList =
-        serde_json::from_slice(&body).map_err(|error| unreadable(error.to_string()))?;
+        serde_json::from_slice(&body).map_err(|error| load_error(error.to_string()))?;
     Ok(list.runs)
 }
--- a/crates/cli/src/trial/claims.rs
+++ b/crates/cli/src/trial/claims.rs
@@ -1,4 +1,4 @@
-//! What a claim costs: the same calls to a plain service with and without a key.
+//! Cost of idempotency claims: the same calls to a plain service with and without a key.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,35 +11,37 @@
 use super::fleet::{ProcessFleet, TrialPlan};
 use super::process::TrialError;
 
-/// Calls before the times count.
+/// Initial part of a run whose calls are not measured.
 const WARM_UP: Duration = Duration::from_millis(500);
 
 plain_value! {
-    /// Calls of one kind by a number of callers at one time.
+    /// Results for calls of one kind by a number of concurrent callers.
     pub struct ClaimRow {
-        /// Control hosts.
+        /// Number of control hosts.
         pub controls: usize,
-        /// Callers at one time, each with one call open.
+        /// Number of concurrent callers, each with one open call.
         pub callers: usize,
-        /// Whether the calls carry a key.
+        /// Whether the calls carry an `Idempotency-Key`.
         pub keyed: bool,
-        /// Answered calls.
+        /// Number of answered calls.
         pub calls: u64,
-        /// Calls that got anything but their answer.
+        /// Number of calls without a successful answer, including those during the warm-up.
         pub failed: u64,
-        /// Answered calls a second.
+        /// Answered calls per second.
         pub per_second: f64,
-        /// Half of the answers came within this, in milliseconds.
+        /// Median response time in milliseconds.
         pub p50_ms: f64,
-        /// 99 in 100 answers came within this.
+        /// 99th percentile of the response time in milliseconds.
         pub p99_ms: f64,
     }
 }
 
-/// Measures keyed and unkeyed calls in turn, for each number of callers.
+/// Measures calls without and with a key for each number of concurrent callers.
+///
+/// `length` is the duration of each run, warm-up included.
 ///
 /// # Errors
-/// A `TrialError` when the fleet cannot be started.
+/// `TrialError` if the fleet cannot be started.
 pub fn measure_claims(
     programs: &Path,
     controls: usize,
@@ -61,21 +63,23 @@
 }
 
 fn run_callers(entry: SocketAddr, callers: usize, keyed: bool, length: Duration) -> ClaimRow {
-    let number = Arc::new(AtomicU64::new(0));
-    let run = rand::random::<u64>();
-    let begun = Instant::now();
+    let next_call = Arc::new(AtomicU64::new(0));
+    let run_id = rand::random::<u64>();
+    let started_at = Instant::now();
     let threads: Vec<_> = (0..callers)
         .map(|_| {
-            let number = Arc::clone(&number);
-            std::thread::spawn(move || call_for(entry, keyed, run, &number, begun, length))
+            let next_call = Arc::clone(&next_call);
+            std::thread::spawn(move || {
+                call_repeatedly(entry, keyed, run_id, &next_call, started_at, length)
+            })
         })
         .collect();
     let mut times = Vec::new();
     let mut failed = 0;
     for thread in threads {
-        let (own, own_failed) = thread.join().unwrap_or_default();
-        times.extend(own);
-        failed += own_failed;
+        let (thread_times, thread_failed) = thread.join().unwrap_or_default();
+        times.extend(thread_times);
+        failed += thread_failed;
     }
     times.sort_unstable();
     let seconds = length.saturating_sub(WARM_UP).as_secs_f64();
@@ -86,28 +90,28 @@
         calls: times.len() as u64,
         failed,
         per_second: times.len() as f64 / seconds,
-        p50_ms: quantile(&times, 50),
-        p99_ms: quantile(&times, 99),
+        p50_ms: percentile(&times, 50),
+        p99_ms: percentile(&times, 99),
     }
 }
 
-fn call_for(
+fn call_repeatedly(
     entry: SocketAddr,
     keyed: bool,
-    run: u64,
-    number: &AtomicU64,
-    begun: Instant,
+    run_id: u64,
+    next_call: &AtomicU64,
+    started_at: Instant,
     length: Duration,
 ) -> (Vec<Duration>, u64) {
     let mut times = Vec::new();
     let mut failed = 0;
-    while begun.elapsed() < length {
-        let key = format!("{run:016x}-{}", number.fetch_add(1, Ordering::Relaxed));
-        let counts = begun.elapsed() >= WARM_UP;
+    while started_at.elapsed() < length {
+        let key = format!("{run_id:016x}-{}", next_call.fetch_add(1, Ordering::Relaxed));
+        let measured = started_at.elapsed() >= WARM_UP;
         let sent = Instant::now();
         let answered = call(entry, &key, keyed);
         match answered {
-            true if counts => times.push(sent.elapsed()),
+            true if measured => times.push(sent.elapsed()),
             true => {}
             false => failed += 1,
         }
@@ -125,7 +129,7 @@
     response.is_ok_and(|response| response.is_success() && response.bytes().is_ok())
 }
 
-fn quantile(sorted: &[Duration], percent: usize) -> f64 {
-    let at = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
-    sorted.get(at).map_or(0.0, |time| time.as_secs_f64() * 1000.0)
+fn percentile(sorted: &[Duration], percent: usize) -> f64 {
+    let index = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
+    sorted.get(index).map_or(0.0, |time| time.as_secs_f64() * 1000.0)
 }
--- a/crates/cli/src/trial/fault.rs
+++ b/crates/cli/src/trial/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a trial, and what each of them comes to.
+//! Faults that a trial injects, and the outcomes that callers see under each of them.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,47 +10,47 @@
 use super::fleet::{ProcessFleet, TrialPlan};
 use super::process::{ChildProcess, ProcessSignal, TrialError};
 
-/// Requests a second of the load.
-const RATE: f64 = 40.0;
+/// Request rate of the load.
+const REQUESTS_PER_SECOND: f64 = 40.0;
 
-/// How long a process stands still.
-const STANDSTILL: Duration = Duration::from_secs(6);
+/// How long a process is paused.
+const PAUSE_LENGTH: Duration = Duration::from_secs(6);
 
-/// Calls under keys in a trial that kills an entry.
+/// Number of keyed calls in a trial that kills an entry.
 const KEYED_CALLS: usize = 40;
 
-/// Time between two calls under keys.
-const KEYED_PAUSE: Duration = Duration::from_millis(25);
+/// Interval between the starts of keyed calls.
+const KEYED_CALL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What goes wrong.
+/// Fault that a trial injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialFault {
-    /// Nothing.
+    /// No fault; the baseline.
     Nothing,
-    /// An entry is killed between claim and dispatch.
+    /// An entry is killed after claiming keys and before dispatching the calls.
     EntryKilledBeforeDispatch,
-    /// An entry is killed between dispatch and answer.
+    /// An entry is killed after dispatching calls and before their answers arrive.
     EntryKilledBeforeAnswer,
-    /// An agent stands still and goes on.
+    /// An agent process is paused and resumed.
     AgentStopped,
-    /// An engine stands still and goes on.
+    /// An engine process is paused and resumed.
     EngineStopped,
-    /// Every open path goes silent; new connections work.
+    /// All open connections to agents are black-holed; new connections work.
     PathsForgotten,
-    /// Engines answer late, crossed, doubled, cut and silent.
+    /// Engines delay, swap, truncate and withhold answers.
     BadAnswers,
-    /// Plain services answer late, crossed, cut and silent.
+    /// Plain services delay, swap, truncate and withhold answers.
     BadService,
-    /// Every process of one availability zone is killed.
+    /// Every agent of one availability zone is killed.
     ZoneKilled,
-    /// Agents are told to end, one after the other.
+    /// Agents are shut down gracefully, one after the other.
     AgentsTerminated,
-    /// An entry is told to end.
+    /// An entry is shut down gracefully.
     EntryTerminated,
 }
 
 impl TrialFault {
-    /// Every fault, in the order of the table.
+    /// All faults, in the order in which results are listed.
     pub const ALL: [Self; 11] = [
         Self::Nothing,
         Self::EntryKilledBeforeDispatch,
@@ -65,7 +65,7 @@
         Self::EntryTerminated,
     ];
 
-    /// Its name.
+    /// Name on the command line and in results.
     pub fn name(self) -> &'static str {
         match self {
             Self::Nothing => "nothing",
@@ -82,56 +82,56 @@
         }
     }
 
-    /// The fault called `name`.
+    /// Returns the fault called `name`.
     pub fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|fault| fault.name() == name)
     }
 }
 
 plain_value! {
-    /// What callers were told under one fault, against what truly ran.
+    /// Outcomes reported to callers under one fault, checked against the run logs.
     pub struct OutcomeRow {
-        /// The fault.
+        /// Name of the fault.
         pub fault: String,
         /// Requests sent.
         pub sent: u64,
-        /// Whole answers to their own request.
+        /// Requests that got their own complete answer.
         pub answered: u64,
-        /// Told that they were not run.
+        /// Requests reported as not run.
         pub refused: u64,
-        /// Told that the outcome is not known.
+        /// Requests whose outcome was reported as unknown.
         pub unknown: u64,
-        /// Told nothing.
+        /// Requests without any response.
         pub lost: u64,
-        /// Keys that ran twice, and answers with pieces that came twice.
+        /// Keys that ran more than once, and answers with repeated chunks.
         pub doubled: u64,
-        /// Answers to another request, or short ones that look whole.
+        /// Requests that got the answer to another request, or a truncated answer that looks complete.
         pub crossed: u64,
-        /// Told `not_run` and ran, or answered and never ran.
+        /// Requests reported as `not_run` that ran, or answered ones that never ran.
         pub untrue: u64,
-        /// Processes that were to end in order and did not.
+        /// Processes that failed to shut down gracefully.
         pub not_ended: u64,
-        /// Requests by how they ended, where that was a refusal or an answer of the load.
+        /// Number of requests by code: all outcomes of a load, only refusals of keyed calls.
         pub codes: SortedTable<String, u64>,
     }
 }
 
 impl OutcomeRow {
-    /// Whether every request came to a true outcome.
+    /// Whether every request got a correct outcome and every process shut down as asked.
     pub fn is_clean(&self) -> bool {
         self.lost + self.doubled + self.crossed + self.untrue + self.not_ended == 0
     }
 
     fn from_load(fault: TrialFault, report: &LoadReport) -> Self {
         let audit = report.audit.clone().unwrap_or_default();
-        let told = report.answered + report.told_not_run;
+        let known = report.answered + report.told_not_run;
         let wrong = report.lost + report.crossed + report.short + report.repeated;
         Self {
             fault: fault.name().to_owned(),
             sent: report.sent,
             answered: report.answered,
             refused: report.told_not_run,
-            unknown: report.sent - told - wrong,
+            unknown: report.sent - known - wrong,
             lost: report.lost,
             doubled: audit.doubled + report.repeated,
             crossed: report.crossed + report.short,
@@ -158,10 +158,13 @@
     }
 }
 
-/// Brings `fault` about under load for about `length`; `programs` is the folder of the binaries.
+/// Injects `fault` into a fleet under load and returns the outcomes.
+///
+/// The load lasts for about `length`; trials that kill an entry send a fixed number of keyed calls
+/// instead. `programs` is the folder with the binaries.
 ///
 /// # Errors
-/// A `TrialError` when the trial itself could not be run.
+/// `TrialError` if the trial itself could not be run.
 pub fn run_fault(
     programs: &Path,
     fault: TrialFault,
@@ -186,106 +189,108 @@
             let ended = |fleet: &mut ProcessFleet| terminate(&mut fleet.entries[0]);
             entry_terminated(&plan.entries(2), length, ended)
         }
-        _ => under_load(&plan, fault, length, |fleet| strike(fleet, fault)),
+        _ => under_load(&plan, fault, length, |fleet| inject_fault(fleet, fault)),
     }
 }
 
-/// Runs mixed load through the first entry and strikes after a third of it.
+/// Runs mixed load through the first entry and injects the fault after a third of `length`.
 fn under_load(
     plan: &TrialPlan,
     fault: TrialFault,
     length: Duration,
-    strike: impl FnOnce(&mut ProcessFleet) -> u64,
+    inject_fault: impl FnOnce(&mut ProcessFleet) -> u64,
 ) -> Result<OutcomeRow, TrialError> {
     let mut fleet = ProcessFleet::start(plan)?;
     let load = LoadPlan::new(fleet.entry_addresses()[0])
-        .pace(RATE, length)
+        .pace(REQUESTS_PER_SECOND, length)
         .model("desk", 24)
         .shares(0.7, 0.4)
         .service("ledger", 0.4)
         .bounds(Duration::from_secs(30), 2000)
         .stand_ins(&fleet.endpoint_addresses());
-    let running = std::thread::spawn(move || run_load(&load, |_, _| {}));
+    let load_thread = std::thread::spawn(move || run_load(&load, |_, _| {}));
     std::thread::sleep(length / 3);
-    let not_ended = strike(&mut fleet);
-    let report = running
+    let not_ended = inject_fault(&mut fleet);
+    let report = load_thread
         .join()
-        .map_err(|_| TrialError::Load { detail: "the load's thread failed".to_owned() })?;
+        .map_err(|_| TrialError::Load { detail: "the load thread panicked".to_owned() })?;
     let report = report.map_err(|error| TrialError::Load { detail: error.to_string() })?;
     Ok(OutcomeRow { not_ended, ..OutcomeRow::from_load(fault, &report) })
 }
 
-fn strike(fleet: &mut ProcessFleet, fault: TrialFault) -> u64 {
+fn inject_fault(fleet: &mut ProcessFleet, fault: TrialFault) -> u64 {
     match fault {
-        TrialFault::AgentStopped => stand_still(&fleet.agents[0].agent),
-        TrialFault::EngineStopped => stand_still(&fleet.agents[0].endpoint),
+        TrialFault::AgentStopped => pause_process(&fleet.agents[0].agent),
+        TrialFault::EngineStopped => pause_process(&fleet.agents[0].endpoint),
         TrialFault::PathsForgotten => {
             for agent in &fleet.agents {
-                agent.relay.forget_open();
+                agent.relay.black_hole_open();
             }
         }
-        // The run logs of killed stand-ins would be lost, so the endpoints outlive their agents.
+        // The endpoints are kept running: the run log of a killed stand-in would be lost.
         TrialFault::ZoneKilled => {
             for agent in fleet.agents.iter().filter(|agent| agent.zone == "zone-b") {
                 agent.agent.signal(ProcessSignal::Kill);
             }
         }
         TrialFault::AgentsTerminated => {
-            let leaving = [0, fleet.agents.len() - 1];
-            return leaving.iter().map(|at| terminate(&mut fleet.agents[*at].agent)).sum();
+            let terminated = [0, fleet.agents.len() - 1];
+            return terminated.iter().map(|at| terminate(&mut fleet.agents[*at].agent)).sum();
         }
         _ => {}
     }
     0
 }
 
-fn stand_still(child: &ChildProcess) {
+fn pause_process(child: &ChildProcess) {
     child.signal(ProcessSignal::Stop);
-    std::thread::sleep(STANDSTILL);
+    std::thread::sleep(PAUSE_LENGTH);
     child.signal(ProcessSignal::Continue);
 }
 
-/// Tells `child` to end in order; one when it does not, or ends otherwise.
+/// Shuts `child` down gracefully; returns 1 if it does not exit with success, otherwise 0.
 fn terminate(child: &mut ChildProcess) -> u64 {
     child.signal(ProcessSignal::Terminate);
     let ended = child.wait(Duration::from_secs(40));
     u64::from(!ended.is_some_and(|status| status.success()))
 }
 
-/// Claims go through and dispatches are swallowed on their way; then the entry dies.
+/// Kills the entry after the relays have dropped its dispatches, so that the keys of the later
+/// calls are claimed and the calls never reach an agent.
 fn kill_before_dispatch(plan: &TrialPlan) -> Result<OutcomeRow, TrialError> {
     let fault = TrialFault::EntryKilledBeforeDispatch;
     let fleet = ProcessFleet::start(plan)?;
     let mut callers = KeyedCaller::new(fleet.entry_addresses());
     for number in 0..KEYED_CALLS {
         if number == KEYED_CALLS / 2 {
-            // A call that is still under way would be cut off on its way back instead.
+            // A call still in progress would lose its answer instead of its dispatch.
             callers.wait()?;
             for agent in &fleet.agents {
-                agent.relay.mute();
+                agent.relay.discard_outbound();
             }
         }
         callers.start(&format!("lot-{number}"));
-        std::thread::sleep(KEYED_PAUSE);
+        std::thread::sleep(KEYED_CALL_INTERVAL);
     }
     fleet.entries[0].signal(ProcessSignal::Kill);
     Ok(OutcomeRow::from_keyed(fault, &callers.finish(&fleet.service_addresses())?))
 }
 
-/// The service runs the calls when the entry dies, before it has an answer.
+/// Kills the entry while the service is running calls, before their answers arrive.
 fn kill_before_answer(plan: &TrialPlan) -> Result<OutcomeRow, TrialError> {
     let fault = TrialFault::EntryKilledBeforeAnswer;
     let fleet = ProcessFleet::start(plan)?;
     let mut callers = KeyedCaller::new(fleet.entry_addresses());
     for number in 0..KEYED_CALLS {
         callers.start(&format!("lot-{number}"));
-        std::thread::sleep(KEYED_PAUSE);
+        std::thread::sleep(KEYED_CALL_INTERVAL);
     }
     fleet.entries[0].signal(ProcessSignal::Kill);
     Ok(OutcomeRow::from_keyed(fault, &callers.finish(&fleet.service_addresses())?))
 }
 
-/// Callers go to an entry that ends in order, and to the other once it refuses.
+/// Shuts an entry down gracefully while callers use it; they switch to the other entry once the
+/// first one refuses or is gone.
 fn entry_terminated(
     plan: &TrialPlan,
     length: Duration,
@@ -294,22 +299,22 @@
     let mut fleet = ProcessFleet::start(plan)?;
     let mut callers = KeyedCaller::new(fleet.entry_addresses());
     let addresses = fleet.entry_addresses().to_vec();
-    let feeding = std::thread::spawn(move || {
+    let caller_thread = std::thread::spawn(move || {
         let started = Instant::now();
         let mut number = 0;
         while started.elapsed() < length {
             callers.start(&format!("lot-{number}"));
             number += 1;
-            std::thread::sleep(KEYED_PAUSE);
+            std::thread::sleep(KEYED_CALL_INTERVAL);
         }
         callers
     });
     std::thread::sleep(length / 3);
     let not_ended = end(&mut fleet);
-    log::info!("first of {} entries ended", addresses.len());
-    let callers = feeding
+    log::info!("the first of {} entries has shut down", addresses.len());
+    let callers = caller_thread
         .join()
-        .map_err(|_| TrialError::Load { detail: "the callers' thread failed".to_owned() })?;
+        .map_err(|_| TrialError::Load { detail: "the callers' thread panicked".to_owned() })?;
     let tally = callers.finish(&fleet.service_addresses())?;
     Ok(OutcomeRow { not_ended, ..OutcomeRow::from_keyed(TrialFault::EntryTerminated, &tally) })
 }
--- a/crates/cli/src/trial/fleet.rs
+++ b/crates/cli/src/trial/fleet.rs
@@ -16,19 +16,19 @@
 use super::process::{ChildProcess, ProcessSignal, TrialError};
 use super::relay::PathRelay;
 
-/// How long a fleet may take to be ready; generous, because a busy machine is no failure.
-const READY_WAIT: Duration = Duration::from_secs(60);
+/// Time limit for a fleet to become ready; generous so that a busy machine does not fail a trial.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often readiness is looked at.
-const READY_CHECK: Duration = Duration::from_millis(100);
+/// Interval between readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Secret between the processes of a trial; it never leaves loopback.
+/// Cluster token of the processes of a trial; it is used on loopback only.
 const TRIAL_TOKEN: &str = "trial-only";
 
-/// Availability zones of a trial.
+/// Availability zones that the agents of a trial are spread over.
 const ZONES: [&str; 2] = ["zone-a", "zone-b"];
 
-/// Rules of a trial with this many engines and plain services.
+/// Default rule document for the given numbers of engines and plain services.
 fn trial_rules(engines: usize, services: usize) -> String {
     format!(
         "services:
@@ -47,7 +47,7 @@
     )
 }
 
-/// What a trial consists of, built step by step.
+/// Builder for the composition of a trial fleet.
 #[derive(Debug, Clone)]
 pub struct TrialPlan {
     programs: PathBuf,
@@ -68,7 +68,9 @@
 }
 
 impl TrialPlan {
-    /// A fleet of the programs in the folder `programs`.
+    /// Creates a plan with one control host, one entry, four engines and two plain services.
+    ///
+    /// `programs` is the folder with the `briartray` and `briartrayd` binaries.
     pub fn new(programs: &Path) -> Self {
         Self {
             programs: programs.to_owned(),
@@ -89,56 +91,57 @@
         }
     }
 
-    /// Sets a prompt that crashes the engine which runs it.
+    /// Sets a prompt that crashes any engine that runs it.
     #[must_use]
     pub fn fatal_prompt(mut self, prompt: &str) -> Self {
         self.fatal_prompt = Some(prompt.to_owned());
         self
     }
 
-    /// Sets what entries do when their rules cannot be confirmed.
+    /// Sets how long entries keep using their rules after their rules lease has expired.
     #[must_use]
     pub fn hold(mut self, hold: HoldPolicy) -> Self {
         self.hold = hold;
         self
     }
 
-    /// Sets what entries do when their lease has run out all the same.
+    /// Sets what entries do with requests once they may no longer use their rules.
     #[must_use]
     pub fn unconfirmed(mut self, policy: UnconfirmedPolicy) -> Self {
         self.unconfirmed = policy;
         self
     }
 
-    /// Sets how many hosts the rules put into one group; they share a fabric domain.
+    /// Sets the number of hosts per group, at least one. The hosts of a group share a zone and a
+    /// fabric domain; the rule document has to ask for the same number.
     #[must_use]
     pub fn hosts_per_group(mut self, count: usize) -> Self {
         self.hosts_per_group = count.max(1);
         self
     }
 
-    /// Makes the engines refuse orders with an old fencing number.
+    /// Sets whether engines reject orders with an outdated fencing number.
     #[must_use]
     pub fn checks_fencing(mut self, checks: bool) -> Self {
         self.checks_fencing = checks;
         self
     }
 
-    /// Sets how many control hosts there are.
+    /// Sets the number of control hosts.
     #[must_use]
     pub fn controls(mut self, count: usize) -> Self {
         self.controls = count;
         self
     }
 
-    /// Sets how many entries there are.
+    /// Sets the number of entries.
     #[must_use]
     pub fn entries(mut self, count: usize) -> Self {
         self.entries = count;
         self
     }
 
-    /// Sets how many engines and plain services there are.
+    /// Sets the numbers of engines and plain services, each with an agent of its own.
     #[must_use]
     pub fn endpoints(mut self, engines: usize, services: usize) -> Self {
         self.engines = engines;
@@ -146,35 +149,35 @@
         self
     }
 
-    /// Sets the faults of every engine, as the stand-in's option takes them.
+    /// Sets the faults of every engine, in the syntax of `briartray stand-in --fault`.
     #[must_use]
     pub fn engine_faults(mut self, faults: &[&str]) -> Self {
         self.engine_faults = faults.iter().map(|fault| (*fault).to_owned()).collect();
         self
     }
 
-    /// Sets the faults of every plain service.
+    /// Sets the faults of every plain service, in the syntax of `briartray stand-in --fault`.
     #[must_use]
     pub fn service_faults(mut self, faults: &[&str]) -> Self {
         self.service_faults = faults.iter().map(|fault| (*fault).to_owned()).collect();
         self
     }
 
-    /// Sets the time of one engine step.
+    /// Sets the duration of one engine step, in whole milliseconds.
     #[must_use]
     pub fn engine_step(mut self, step: Duration) -> Self {
         self.engine_step_ms = u64::try_from(step.as_millis()).unwrap_or(u64::MAX);
         self
     }
 
-    /// Sets the rule document.
+    /// Sets the rule document in YAML, instead of the default one.
     #[must_use]
     pub fn rules(mut self, document: &str) -> Self {
         self.rules = Some(document.to_owned());
         self
     }
 
-    /// Sets the time of one call to a plain service.
+    /// Sets the duration of one call to a plain service, in whole milliseconds.
     #[must_use]
     pub fn service_work(mut self, work: Duration) -> Self {
         self.service_work_ms = u64::try_from(work.as_millis()).unwrap_or(u64::MAX);
@@ -182,29 +185,29 @@
     }
 }
 
-/// One agent with its endpoint and the relay before it.
+/// One agent with its endpoint and the relay in front of it.
 pub struct FleetAgent {
-    /// The agent.
+    /// Agent process.
     pub agent: ChildProcess,
-    /// The endpoint.
+    /// Endpoint process: a stand-in engine or service.
     pub endpoint: ChildProcess,
-    /// Where the endpoint listens.
+    /// Listening address of the endpoint.
     pub endpoint_address: SocketAddr,
-    /// What entries and other agents connect through.
+    /// Relay through which entries and other agents connect to the agent.
     pub relay: PathRelay,
-    /// Its host.
+    /// Host name.
     pub host: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: &'static str,
 }
 
-/// A running fleet.
+/// A running fleet of real processes on loopback; its processes are killed when it is dropped.
 pub struct ProcessFleet {
-    /// The control hosts.
+    /// Control host processes.
     pub controls: Vec<ChildProcess>,
-    /// The entries.
+    /// Entry processes.
     pub entries: Vec<ChildProcess>,
-    /// Agents beside engines, then agents beside plain services.
+    /// Agents of the engines, followed by the agents of the plain services.
     pub agents: Vec<FleetAgent>,
     plan: TrialPlan,
     cluster: ClusterSettings,
@@ -214,15 +217,16 @@
 }
 
 impl ProcessFleet {
-    /// Starts the fleet and waits until every replica is up.
+    /// Starts the fleet and waits until every group is whole and every entry is ready.
     ///
     /// # Errors
-    /// A `TrialError` when a program is not there or the fleet does not become ready.
+    /// `TrialError` if a program cannot be started, a file or port is unavailable, or the fleet
+    /// does not become ready in time.
     pub fn start(plan: &TrialPlan) -> Result<Self, TrialError> {
         let folder = tempfile::Builder::new().prefix("briartray-trial-").tempdir()?;
         let rules = folder.path().join("rules.yaml");
-        let own = || trial_rules(plan.engines, plan.services);
-        std::fs::write(&rules, plan.rules.clone().unwrap_or_else(own))?;
+        let default_rules = || trial_rules(plan.engines, plan.services);
+        std::fs::write(&rules, plan.rules.clone().unwrap_or_else(default_rules))?;
         let mut peers = Vec::new();
         for number in 0..plan.controls {
             let node = NodeName::new(&format!("control-{number}"));
@@ -248,49 +252,49 @@
         Ok(fleet)
     }
 
-    /// Where callers connect.
+    /// Listening addresses of the entries.
     pub fn entry_addresses(&self) -> &[SocketAddr] {
         &self.entry_addresses
     }
 
-    /// Where operators connect, by control host.
+    /// Addresses of the operators' ports, by number of the control host.
     pub fn operators(&self) -> &[SocketAddr] {
         &self.operators
     }
 
-    /// Where operators connect to the first control host.
+    /// Address of the operators' port of the first control host.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators[0]
     }
 
-    /// Kills the control host with this number and starts it again with the same folder.
+    /// Kills the control host with this number and starts it again with the same data folder.
     ///
     /// # Errors
-    /// A `TrialError` when it cannot be started.
+    /// `TrialError` if the process cannot be started.
     pub fn restart_control(&mut self, number: usize) -> Result<(), TrialError> {
         self.controls[number].signal(ProcessSignal::Kill);
-        self.controls[number].wait(READY_WAIT);
+        self.controls[number].wait(READY_TIMEOUT);
         let folder = self.folder.path();
         self.controls[number] = run_daemon(&self.plan, folder, &format!("control-{number}"))?;
         Ok(())
     }
 
-    /// Where the endpoints listen.
+    /// Listening addresses of all endpoints.
     pub fn endpoint_addresses(&self) -> Vec<SocketAddr> {
         self.agents.iter().map(|agent| agent.endpoint_address).collect()
     }
 
-    /// Where the plain services listen.
+    /// Listening addresses of the plain services.
     pub fn service_addresses(&self) -> Vec<SocketAddr> {
         self.agents[self.plan.engines..].iter().map(|agent| agent.endpoint_address).collect()
     }
 
-    /// Folder with settings and logs.
+    /// Folder with the settings and logs of the processes.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Sends `signal` to every agent and endpoint of `zone`.
+    /// Sends `signal` to every agent and endpoint in `zone`.
     pub fn signal_zone(&self, zone: &str, signal: ProcessSignal) {
         for agent in self.agents.iter().filter(|agent| agent.zone == zone) {
             agent.agent.signal(signal);
@@ -394,17 +398,17 @@
 
     fn wait_until_ready(&self) -> Result<(), TrialError> {
         let started = Instant::now();
-        while started.elapsed() < READY_WAIT {
+        while started.elapsed() < READY_TIMEOUT {
             if self.whole_groups() == self.groups() && self.entries_ready() {
                 return Ok(());
             }
-            std::thread::sleep(READY_CHECK);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         let folder = self.folder.path().display().to_string();
-        Err(TrialError::NotReady { seconds: READY_WAIT.as_secs(), folder })
+        Err(TrialError::NotReady { seconds: READY_TIMEOUT.as_secs(), folder })
     }
 
-    /// Groups that the hosts make up.
+    /// Number of groups that the hosts of the plan form.
     fn groups(&self) -> usize {
         self.agents.len() / self.plan.hosts_per_group
     }
@@ -412,21 +416,21 @@
     /// Kills the agent with this number and starts it again with the same settings.
     ///
     /// # Errors
-    /// A `TrialError` when it cannot be started.
+    /// `TrialError` if the process cannot be started.
     pub fn restart_agent(&mut self, number: usize) -> Result<(), TrialError> {
         self.agents[number].agent.signal(ProcessSignal::Kill);
-        self.agents[number].agent.wait(READY_WAIT);
+        self.agents[number].agent.wait(READY_TIMEOUT);
         let name = format!("agent-{}", self.agents[number].host);
         self.agents[number].agent = run_daemon(&self.plan, self.folder.path(), &name)?;
         Ok(())
     }
 
-    /// Starts endpoints that have ended again; how many there were.
+    /// Restarts the endpoints that have exited and returns their number.
     ///
     /// # Errors
-    /// A `TrialError` when one cannot be started.
-    pub fn revive_endpoints(&mut self) -> Result<usize, TrialError> {
-        let mut revived = 0;
+    /// `TrialError` if one cannot be started.
+    pub fn restart_ended_endpoints(&mut self) -> Result<usize, TrialError> {
+        let mut restarted = 0;
         for number in 0..self.agents.len() {
             if self.agents[number].endpoint.wait(Duration::ZERO).is_none() {
                 continue;
@@ -438,17 +442,17 @@
             let (host, address) =
                 (self.agents[number].host.clone(), self.agents[number].endpoint_address);
             self.agents[number].endpoint = self.start_endpoint(&host, kind, address)?;
-            revived += 1;
+            restarted += 1;
         }
-        Ok(revived)
+        Ok(restarted)
     }
 
-    /// Groups that are whole now.
+    /// Number of whole groups, as the leading control host reports it.
     pub fn whole_groups(&self) -> usize {
         self.operators.iter().map(|operator| whole_groups(*operator)).max().unwrap_or(0)
     }
 
-    /// Whether every entry takes requests and knows every group as whole.
+    /// Whether every entry accepts requests and sees every group as whole.
     fn entries_ready(&self) -> bool {
         self.entry_addresses.iter().all(|address| {
             let response = attohttpc::get(format!("http://{address}/readyz")).send();
@@ -459,7 +463,7 @@
     }
 }
 
-/// Groups that a control host knows to be whole; none when it does not lead.
+/// Number of whole groups according to one control host; 0 if it is not the leader.
 fn whole_groups(operator: SocketAddr) -> usize {
     let response = attohttpc::get(format!("http://{operator}/v1/groups")).send();
     let Ok(body) = response.and_then(attohttpc::Response::bytes) else { return 0 };
@@ -473,7 +477,7 @@
     DaemonSettings { stop, ..DaemonSettings::new(node, zone, cluster) }
 }
 
-/// Starts a daemon; its settings are written as JSON, which is YAML too.
+/// Writes the settings of a daemon as JSON, which is valid YAML, and starts it.
 fn start_daemon(
     plan: &TrialPlan,
     folder: &Path,
@@ -486,7 +490,7 @@
     run_daemon(plan, folder, name)
 }
 
-/// Starts the daemon called `name` with the settings written before.
+/// Starts the daemon called `name` with the settings file that `start_daemon` wrote.
 fn run_daemon(plan: &TrialPlan, folder: &Path, name: &str) -> Result<ChildProcess, TrialError> {
     let file = folder.join(format!("{name}.yaml")).display().to_string();
     let log = folder.join(format!("{name}.log"));
--- a/crates/cli/src/trial/mod.rs
+++ b/crates/cli/src/trial/mod.rs
@@ -1,5 +1,8 @@
-//! Trials of failures on real processes: a fleet of daemons and stand-ins on loopback, a relay that
-//! breaks paths, and a count of what callers were told against what truly ran.
+//! Fault injection on real processes.
+//!
+//! A trial starts a fleet of daemons and stand-ins on loopback, injects a fault (killed or paused
+//! processes, broken network paths, faulty endpoints), and compares the outcomes that were reported
+//! to callers with the run logs of the stand-ins.
 
 mod caller;
 mod claims;
--- a/crates/cli/src/trial/probe.rs
+++ b/crates/cli/src/trial/probe.rs
@@ -1,4 +1,4 @@
-//! Single calls to the processes of a trial.
+//! Single HTTP calls to the processes of a trial.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 use super::process::TrialError;
 
-/// How long one call may take; generous, because a busy machine is no failure.
+/// Time limit for one call; generous so that a busy machine does not fail a trial.
 const CALL_LIMIT: Duration = Duration::from_secs(60);
 
-/// Posts `body` to `path`; returns status and body of the answer.
+/// Posts `body` to `path`; returns the status and body of the response.
 ///
 /// # Errors
-/// `TrialError::Load` when nothing answers, or no JSON.
+/// `TrialError::Load` if there is no response or its body is not JSON.
 pub fn post_json(
     address: SocketAddr,
     path: &str,
@@ -23,18 +23,19 @@
     read_json(request.timeout(CALL_LIMIT).bytes(body.to_string().into_bytes()).send())
 }
 
-/// Reads `path`; returns status and body of the answer.
+/// Gets `path`; returns the status and body of the response.
 ///
 /// # Errors
-/// `TrialError::Load` when nothing answers, or no JSON.
+/// `TrialError::Load` if there is no response or its body is not JSON.
 pub fn get_json(address: SocketAddr, path: &str) -> Result<(u16, Value), TrialError> {
     read_json(attohttpc::get(format!("http://{address}{path}")).timeout(CALL_LIMIT).send())
 }
 
-/// Asks an entry for `tokens` tokens of its service `desk`.
+/// Requests a completion of `tokens` tokens from the service `desk` through an entry; returns the
+/// status and body of the response.
 ///
 /// # Errors
-/// `TrialError::Load` when the entry does not answer.
+/// `TrialError::Load` if there is no response or its body is not JSON.
 pub fn ask_desk(entry: SocketAddr, tokens: u32) -> Result<(u16, Value), TrialError> {
     let body = json!({ "model": "desk", "prompt": "status of lot 7", "max_tokens": tokens });
     post_json(entry, "/v1/completions", &body)
--- a/crates/cli/src/trial/process.rs
+++ b/crates/cli/src/trial/process.rs
@@ -6,66 +6,67 @@
 
 use snafu::Snafu;
 
-/// Time between two looks at a child.
-const EXIT_CHECK: Duration = Duration::from_millis(20);
+/// Interval between checks whether a child has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a trial could not be run.
 #[derive(Debug, Snafu)]
 pub enum TrialError {
-    /// A program cannot be started.
+    /// A program could not be started.
     #[snafu(display("cannot start {program}: {source}; build the workspace first"))]
     Start {
-        /// The program.
+        /// Path of the program.
         program: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Files, ports or signals are not to be had.
+    /// A file, port or thread was unavailable.
     #[snafu(display("{source}; free a port or a folder"), context(false))]
     System {
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The fleet did not become ready.
+    /// The fleet did not become ready in time.
     #[snafu(display("the fleet is not ready after {seconds} s; look at the logs in {folder}"))]
     NotReady {
-        /// How long it was waited for.
+        /// Time limit that has passed, in seconds.
         seconds: u64,
-        /// Folder with settings and logs.
+        /// Folder with the settings and logs of the processes.
         folder: String,
     },
-    /// The load could not be compared with the run logs.
+    /// The load failed, or its result could not be compared with the run logs.
     #[snafu(display("{detail}"))]
     Load {
-        /// Why.
+        /// Reason.
         detail: String,
     },
 }
 
-/// Signals that trials send.
+/// Signal that a trial sends to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// End at once, without a chance to do anything.
+    /// `SIGKILL`: ends the process at once, without cleanup.
     Kill,
-    /// End in order.
+    /// `SIGTERM`: asks for a graceful shutdown.
     Terminate,
-    /// Stand still.
+    /// `SIGSTOP`: pauses the process.
     Stop,
-    /// Go on.
+    /// `SIGCONT`: resumes a paused process.
     Continue,
 }
 
-/// One child process; it is killed when dropped.
+/// A child process that is killed when dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
 }
 
 impl ChildProcess {
-    /// Starts `program`; its log goes to `log`.
+    /// Starts `program` with its standard output and standard error redirected to the file `log`.
     ///
     /// # Errors
-    /// `TrialError::Start` when the program is not there.
+    /// `TrialError::Start` if the program cannot be started, `TrialError::System` if the log file
+    /// cannot be created.
     pub fn start(program: &Path, arguments: &[&str], log: &Path) -> Result<Self, TrialError> {
         let output = std::fs::File::create(log)?;
         let child = Command::new(program)
@@ -81,12 +82,12 @@
         Ok(Self { child })
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends `signal`; a child that has ended is no error.
+    /// Sends `signal`; a child that has already exited is not an error.
     pub fn signal(&self, signal: ProcessSignal) {
         let name = match signal {
             ProcessSignal::Kill => "-KILL",
@@ -96,18 +97,18 @@
         };
         let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         if let Err(error) = sent {
-            log::error!("cannot send {name}: {error}; install the kill program");
+            log::error!("cannot send signal {name}: {error}; install the kill program");
         }
     }
 
-    /// Waits for the end; `None` when `limit` passes first.
+    /// Waits until the child exits; `None` if it is still running after `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
         let started = Instant::now();
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return Some(status),
                 _ if started.elapsed() >= limit => return None,
-                _ => std::thread::sleep(EXIT_CHECK),
+                _ => std::thread::sleep(EXIT_POLL_INTERVAL),
             }
         }
     }
--- a/crates/cli/src/trial/relay.rs
+++ b/crates/cli/src/trial/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes that can lose track of its connections.
+//! TCP relay between two processes that can black-hole its connections.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,19 +8,20 @@
 
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
 
-/// Bytes moved at one time.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Size of the copy buffer.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// How long the other half of a forgotten connection stays open after one half has ended.
-const FORGOTTEN_HOLD: Duration = Duration::from_secs(60);
+/// How long the other half of a black-holed connection stays open after one half has closed.
+const BLACK_HOLE_CLOSE_DELAY: Duration = Duration::from_secs(60);
 
-/// Time to connect to the target.
+/// Time limit for connecting to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Passes connections on to a target until told to forget them.
+/// TCP relay that forwards connections to a target and can black-hole them on request.
 ///
-/// What stands between two hosts may drop the state of a connection: both ends keep it open, and
-/// whatever they send is swallowed without an error. New connections work.
+/// This simulates a middlebox, such as a firewall, that drops its state of open connections: both
+/// ends keep the connection open, and whatever they send is lost without an error. New connections
+/// work.
 #[derive(Debug)]
 pub struct PathRelay {
     address: SocketAddr,
@@ -30,25 +31,26 @@
 #[derive(Debug)]
 struct RelayState {
     target: Mutex<Option<SocketAddr>>,
-    /// Connections numbered below this are forgotten.
-    forgotten: AtomicU64,
-    /// Connections numbered below this carry nothing towards the target.
-    muted: AtomicU64,
+    /// Connections with a lower number are black-holed in both directions.
+    black_holed_below: AtomicU64,
+    /// Connections with a lower number carry nothing towards the target.
+    muted_below: AtomicU64,
+    /// Number of the next connection.
     next: AtomicU64,
 }
 
 impl PathRelay {
-    /// Listens on a free port of loopback.
+    /// Starts a relay on a free loopback port. Connections are dropped until a target is set.
     ///
     /// # Errors
-    /// No port or thread is to be had.
+    /// I/O error if no port or thread is available.
     pub fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
         let state = Arc::new(RelayState {
             target: Mutex::new(None),
-            forgotten: AtomicU64::new(0),
-            muted: AtomicU64::new(0),
+            black_holed_below: AtomicU64::new(0),
+            muted_below: AtomicU64::new(0),
             next: AtomicU64::new(0),
         });
         let shared = Arc::clone(&state);
@@ -56,25 +58,25 @@
         Ok(Self { address, state })
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets where connections are passed on to.
+    /// Sets the address that new connections are forwarded to.
     pub fn set_target(&self, target: SocketAddr) {
         *self.state.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(target);
     }
 
-    /// Swallows everything on the connections that are open now, in both directions.
-    pub fn forget_open(&self) {
+    /// Discards all data on the connections that are open now, in both directions.
+    pub fn black_hole_open(&self) {
         let next = self.state.next.load(Ordering::SeqCst);
-        self.state.forgotten.store(next, Ordering::SeqCst);
+        self.state.black_holed_below.store(next, Ordering::SeqCst);
     }
 
-    /// Swallows what goes towards the target, on open and on new connections.
-    pub fn mute(&self) {
-        self.state.muted.store(u64::MAX, Ordering::SeqCst);
+    /// Discards all data towards the target, on open and on new connections.
+    pub fn discard_outbound(&self) {
+        self.state.muted_below.store(u64::MAX, Ordering::SeqCst);
     }
 }
 
@@ -105,7 +107,7 @@
 ) {
     let copy = move || copy_all(&state, number, from, to, towards_target);
     if let Err(error) = spawn_worker("relay-copy", WORKER_STACK_BYTES, copy) {
-        log::error!("cannot relay a connection: {error}; raise the thread limit");
+        log::error!("cannot start a relay thread: {error}; raise the thread limit");
     }
 }
 
@@ -116,21 +118,21 @@
     mut to: TcpStream,
     towards_target: bool,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let read = from.read(&mut piece);
-        if number < state.forgotten.load(Ordering::SeqCst) {
+        let read = from.read(&mut buffer);
+        if number < state.black_holed_below.load(Ordering::SeqCst) {
             if matches!(read, Ok(0) | Err(_)) {
-                // Not even the end of the connection is passed on.
-                std::thread::sleep(FORGOTTEN_HOLD);
+                // The close is not forwarded either.
+                std::thread::sleep(BLACK_HOLE_CLOSE_DELAY);
                 return;
             }
             continue;
         }
         match read {
             Ok(0) | Err(_) => break,
-            Ok(_) if towards_target && number < state.muted.load(Ordering::SeqCst) => {}
-            Ok(count) if to.write_all(&piece[..count]).is_ok() => {}
+            Ok(_) if towards_target && number < state.muted_below.load(Ordering::SeqCst) => {}
+            Ok(count) if to.write_all(&buffer[..count]).is_ok() => {}
             Ok(_) => break,
         }
     }
--- a/crates/cli/tests/bad_requests.rs
+++ b/crates/cli/tests/bad_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that an entry refuses: each with a stable code, a remedy, and `not_run`.
+//! Invalid requests, which an entry refuses with a stable code, a remedy and `not_run`.
 
 mod fleet;
 
@@ -8,7 +8,7 @@
 
 use fleet::{completion, post, read_stream, ready_fleet};
 
-/// Status, code and outcome of the answer to `body` with the team `team`.
+/// Sends `body` for `team` and returns the status, code and outcome of the refusal.
 fn refusal(fleet: &DemoFleet, path: &str, team: &str, body: &[u8]) -> (u16, String, String) {
     let response = attohttpc::post(format!("http://{}{path}", fleet.caller_address()))
         .header("x-briartray-team", team)
@@ -24,18 +24,18 @@
 }
 
 #[test]
-fn every_bad_request_has_its_code_and_disturbs_nothing() {
-    // Callers send broken JSON, wrong names, wrong paths and far too much. Each is told what to
-    // correct, and a sound request after them is answered as ever.
+fn every_bad_request_has_its_code_and_affects_no_other_request() {
+    // Callers send broken JSON, unknown names, wrong paths and an oversized body. Each must get a
+    // specific code, and a valid request afterwards must be answered.
     let fleet = ready_fleet(&DemoPlan::default());
-    let sound = json!({ "model": "desk", "prompt": "x" }).to_string();
+    let valid = json!({ "model": "desk", "prompt": "x" }).to_string();
     let large = vec![b' '; 2 * 1024 * 1024];
     let cases: [(&str, &str, &[u8], u16, &str); 8] = [
         ("/v1/completions", "default", b"{ not json", 400, "bad_request"),
         ("/v1/completions", "default", b"[1]", 400, "bad_request"),
         ("/v1/completions", "default", br#"{"model":"none"}"#, 404, "unknown_model"),
-        ("/v1/completions", "strangers", sound.as_bytes(), 401, "unknown_team"),
-        ("/v1/unknown", "default", sound.as_bytes(), 404, "unknown_path"),
+        ("/v1/completions", "strangers", valid.as_bytes(), 401, "unknown_team"),
+        ("/v1/unknown", "default", valid.as_bytes(), 404, "unknown_path"),
         ("/services/none/x", "default", b"{}", 404, "unknown_service"),
         ("/v1/completions", "default", &large, 413, "body_too_large"),
         ("/v1/models", "default", b"{}", 405, "wrong_method"),
--- a/crates/cli/tests/check_command.rs
+++ b/crates/cli/tests/check_command.rs
@@ -1,4 +1,4 @@
-//! `briartray check` as operators use it, on the examples and on files with mistakes.
+//! End-to-end tests of `briartray check` on the examples and on files with mistakes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -12,7 +12,7 @@
     command.arg("check").args(arguments).output().expect("the program runs")
 }
 
-/// Every YAML file below `folder`.
+/// All YAML files below `folder`.
 fn yaml_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).expect("the folder is there").flatten() {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_example_holds() {
+fn every_example_is_valid() {
     let files = yaml_files(Path::new(EXAMPLES));
     let names: Vec<&str> = files.iter().filter_map(|file| file.to_str()).collect();
 
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn mistakes_are_named_with_file_line_key_and_remedy() {
-    // An operator mistypes a key. Were it ignored, the process would run with the default and
-    // nobody would notice until the limit was needed.
+fn mistakes_are_reported_with_file_line_key_and_remedy() {
+    // A settings file has a misspelled key. If the key were ignored, the process would run with the
+    // default, unnoticed until the limit is needed.
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("node.yaml");
-    let sound = std::fs::read_to_string(format!("{EXAMPLES}/try-out/node.yaml")).expect("it reads");
-    let text = sound
+    let valid = std::fs::read_to_string(format!("{EXAMPLES}/try-out/node.yaml")).expect("it reads");
+    let text = valid
         .replace("  listen: 127.0.0.1:8080", "  listen: 127.0.0.1:8080\n  max_opn_requests: 7");
     std::fs::write(&file, text).expect("the file is written");
     let name = file.to_str().expect("a text path");
--- a/crates/cli/tests/crashing_requests.rs
+++ b/crates/cli/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the engines which run them, on real processes.
+//! Quarantine of requests that crash the engines running them, on real processes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,15 +8,15 @@
 use briartray::trial::{ProcessFleet, TrialPlan};
 use serde_json::{Value, json};
 
-/// Prompt that ends the engine which runs it.
+/// Prompt that makes the engine running it exit.
 const FATAL_PROMPT: &str = "a fatal prompt";
 
-/// Crashes within which a fatal request has to be recognised: four, and what is under way while the entries are
-/// told of them.
-const RECOGNISED_WITHIN: usize = 9;
+/// Maximum number of crashes until a fatal request is quarantined: four, plus those in progress
+/// while the entries are being notified.
+const MAX_CRASHES: usize = 9;
 
-/// How long a condition may take; generous, because a busy machine is no failure.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn fleet() -> ProcessFleet {
     let programs = Path::new(env!("CARGO_BIN_EXE_briartray")).parent().expect("a folder");
@@ -39,50 +39,50 @@
     status == 503 && body["code"] == "quarantined"
 }
 
-/// Sends copies until each entry refuses them; how many engines crashed.
-fn quarantine(fleet: &mut ProcessFleet) -> usize {
+/// Sends the fatal request until each entry refuses it; returns the number of engine crashes.
+fn crash_until_quarantined(fleet: &mut ProcessFleet) -> usize {
     let mut crashes = 0;
     let started = Instant::now();
     for entry in fleet.entry_addresses().to_vec() {
-        while !is_quarantined(entry) && crashes <= RECOGNISED_WITHIN {
-            assert!(started.elapsed() < LIMIT, "{crashes} crashes, and no refusal");
-            crashes += fleet.revive_endpoints().expect("engines start again");
+        while !is_quarantined(entry) && crashes <= MAX_CRASHES {
+            assert!(started.elapsed() < TIMEOUT, "not quarantined after {crashes} crashes");
+            crashes += fleet.restart_ended_endpoints().expect("engines start again");
         }
     }
-    crashes + fleet.revive_endpoints().expect("engines start again")
+    crashes + fleet.restart_ended_endpoints().expect("engines start again")
 }
 
 fn wait_for_answer(entry: SocketAddr) {
     let started = Instant::now();
     while complete(entry, "a sound prompt").0 != 200 {
-        assert!(started.elapsed() < LIMIT, "a sound request is not served");
+        assert!(started.elapsed() < TIMEOUT, "a valid request is not served");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Guards against a request that crashes one engine after the other through the product's own interface, and
-/// against a quarantine that is forgotten with the control host.
+/// Guards against a request that crashes one engine after another, and against a quarantine that is
+/// lost when the control host restarts.
 #[test]
 fn a_prompt_that_crashes_engines_is_refused_by_every_entry() {
     let mut fleet = fleet();
     let entries = fleet.entry_addresses().to_vec();
 
-    let crashes = quarantine(&mut fleet);
-    assert!(crashes <= RECOGNISED_WITHIN, "{crashes} engines crashed");
+    let crashes = crash_until_quarantined(&mut fleet);
+    assert!(crashes <= MAX_CRASHES, "{crashes} engines crashed");
     assert!(entries.iter().cycle().take(10).all(|entry| is_quarantined(*entry)));
     wait_for_answer(entries[0]);
 
     fleet.restart_control(0).expect("the control host starts");
     wait_for_answer(entries[1]);
     assert!(entries.iter().all(|entry| is_quarantined(*entry)));
-    assert_eq!(fleet.revive_endpoints().expect("none has ended"), 0);
+    assert_eq!(fleet.restart_ended_endpoints().expect("none has ended"), 0);
 }
 
-/// Guards against a quarantine that operators can neither see nor end.
+/// Guards against a quarantine that operators can neither list nor lift.
 #[test]
 fn operators_list_the_quarantine_and_lift_it() {
     let mut fleet = fleet();
-    quarantine(&mut fleet);
+    crash_until_quarantined(&mut fleet);
     let operator = fleet.operator_address().to_string();
     let briartray = |arguments: &[&str]| {
         let command = Command::new(env!("CARGO_BIN_EXE_briartray"))
@@ -98,7 +98,7 @@
     };
 
     let (_, listed) = briartray(&["list"]);
-    let print = listed[0]["print"].as_str().expect("a print").to_owned();
+    let print = listed[0]["print"].as_str().expect("a fingerprint").to_owned();
     let crashed = listed[0]["crashed"].as_array().map_or(0, Vec::len);
     let wrong = briartray(&["lift", "no-print"]);
     let lifted = briartray(&["lift", &print]);
@@ -110,6 +110,6 @@
     let entry = fleet.entry_addresses()[0];
     let started = Instant::now();
     while is_quarantined(entry) {
-        assert!(started.elapsed() < LIMIT, "it is still refused");
+        assert!(started.elapsed() < TIMEOUT, "the request is still refused");
     }
 }
--- a/crates/cli/tests/fleet/mod.rs
+++ b/crates/cli/tests/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Fixtures: a whole fleet in the test's process, and a caller.
+//! Fixtures: a complete fleet in the test process, and calls to it.
 
-// Each test file uses a part of them.
+// Each test file uses only some of the fixtures.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -9,22 +9,22 @@
 use briartray::demo::{DemoFleet, DemoPlan};
 use serde_json::{Value, json};
 
-/// How long a fleet may take to be ready; generous, because a busy machine is no failure.
-const READY_WAIT: Duration = Duration::from_secs(60);
+/// Time limit for a fleet to become ready; generous so that a busy machine does not fail a test.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A fleet that is ready for requests.
+/// Starts a fleet and waits until it is ready for requests.
 pub fn ready_fleet(plan: &DemoPlan) -> DemoFleet {
     let fleet = DemoFleet::start(plan).expect("the fleet starts");
-    assert!(fleet.wait_until_ready(READY_WAIT), "no replica became whole");
+    assert!(fleet.wait_until_ready(READY_TIMEOUT), "the fleet did not become ready in time");
     fleet
 }
 
-/// The body of a completion request.
+/// Body of a completion request.
 pub fn completion(prompt: &str, tokens: u32, stream: bool) -> Value {
     json!({ "model": "desk", "prompt": prompt, "max_tokens": tokens, "stream": stream })
 }
 
-/// Sends `body` to `path`; returns status and text of the answer.
+/// Posts `body` to `path`; returns the status and text of the response.
 pub fn post(address: SocketAddr, path: &str, body: &Value) -> (u16, String) {
     let response = attohttpc::post(format!("http://{address}{path}"))
         .bytes(body.to_string().into_bytes())
@@ -33,7 +33,7 @@
     (response.status().as_u16(), response.text().expect("the answer is text"))
 }
 
-/// The text of every event of a stream, and whether it ended with the end mark.
+/// Concatenated text of the events of a stream, and whether it ended with the end marker.
 pub fn read_stream(stream: &str) -> (String, bool) {
     let events: Vec<&str> = stream.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     let whole = events.last() == Some(&"[DONE]");
@@ -45,8 +45,8 @@
     (text, whole)
 }
 
-/// Sends `body` to `path` under an `Idempotency-Key`; returns status and text of the answer.
-pub fn post_once(address: SocketAddr, path: &str, key: &str, body: &Value) -> (u16, String) {
+/// Posts `body` to `path` with an `Idempotency-Key`; returns the status and text of the response.
+pub fn post_keyed(address: SocketAddr, path: &str, key: &str, body: &Value) -> (u16, String) {
     let response = attohttpc::post(format!("http://{address}{path}"))
         .header("idempotency-key", key)
         .bytes(body.to_string().into_bytes())
--- a/crates/cli/tests/groups.rs
+++ b/crates/cli/tests/group_accounting.rs
@@ -1,4 +1,4 @@
-//! Group downtime and stranded accelerators on a running fleet.
+//! Accounting of group downtime and stranded accelerators on a running fleet.
 
 mod fleet;
 
@@ -10,8 +10,8 @@
 
 use fleet::ready_fleet;
 
-/// How long a condition may take; generous, because a busy machine is no failure.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn account(address: SocketAddr) -> Value {
     let response = attohttpc::get(format!("http://{address}/v1/groups/account")).send();
@@ -26,14 +26,14 @@
 
 #[test]
 fn lost_member_shows_as_downtime_and_stranded_accelerators() {
-    // A member's agent is killed. Its replica serves nobody, and the accelerators of the other
-    // member stand idle; both have to show for as long as that lasts.
+    // The agent of a member is stopped. Its replica is down and the accelerators of the other member
+    // are idle; both must be counted for as long as this lasts.
     let fleet = ready_fleet(&DemoPlan { services: 0, ..DemoPlan::default() });
     let address = fleet.operator_address();
 
     fleet.stop_agent(1);
     let started = Instant::now();
-    while missing_member_seconds(&account(address)) <= 0.0 && started.elapsed() < LIMIT {
+    while missing_member_seconds(&account(address)) <= 0.0 && started.elapsed() < TIMEOUT {
         std::thread::sleep(Duration::from_millis(100));
     }
 
--- a/crates/cli/tests/keyed_refusals.rs
+++ b/crates/cli/tests/keyed_refusals.rs
@@ -1,4 +1,4 @@
-//! What callers with a key are told when their resend is refused before the ledger is asked.
+//! Outcomes reported for retries with an `Idempotency-Key` that are refused before the ledger lookup.
 
 mod fleet;
 
@@ -9,8 +9,8 @@
 
 use fleet::ready_fleet;
 
-/// Rules that let nobody in, with the services of the demonstration.
-const NOBODY: &str = "
+/// Rules that deny every request to a service of the demonstration.
+const DENY_ALL_RULES: &str = "
 services:
   - { name: ledger, kind: plain }
 rules:
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn refused_resend_is_not_told_that_nothing_ran() {
-    // A confirmation runs, its answer is lost, and the rules change. The caller sends the same key
-    // again and is refused. Told `not_run`, it would confirm the lot a second time under a new key.
+fn refused_retry_is_not_reported_as_not_run() {
+    // A call runs, its answer is lost, and changed rules refuse the retry. If the refusal reported
+    // `not_run`, the caller would send the call again under a new key and run it twice.
     let fleet = ready_fleet(&DemoPlan::default());
     let entry = fleet.caller_address();
     let first = confirm(entry, Some("lot-7"));
-    let body = json!({ "change": format!("{:032x}", 1), "text": NOBODY });
+    let body = json!({ "change": format!("{:032x}", 1), "text": DENY_ALL_RULES });
     let (status, _) =
         briartray::trial::post_json(fleet.operator_address(), "/v1/rules", &body).expect("applied");
 
--- a/crates/cli/tests/leader_change.rs
+++ b/crates/cli/tests/leader_change.rs
@@ -1,4 +1,4 @@
-//! A whole fleet with three control hosts, while the leading one goes away.
+//! Failure of the leader in a fleet with three control hosts.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -11,12 +11,13 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-const SOON: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longer than a new leader lets agents reconnect.
-const PAST_GRACE: Duration = Duration::from_secs(10);
+/// Longer than the time that a new leader waits for agents to reconnect.
+const OBSERVATION_TIME: Duration = Duration::from_secs(10);
 
-/// Control hosts, one entry, two agents with engines.
+/// Three control hosts, one entry, and two agents with engines, all in this process.
 struct TestFleet {
     control: Vec<RunningDaemon>,
     entry: RunningDaemon,
@@ -29,7 +30,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// The part of the settings that names the control hosts.
+/// `cluster` section of the settings with the given number of control hosts.
 fn cluster_of(size: usize) -> Value {
     let addresses = free_addresses(size).expect("free ports");
     let peer = |(host, link): (usize, &SocketAddr)| json!({ "node": format!("control-{host}"), "link": link });
@@ -37,7 +38,7 @@
     json!({ "token": "test-token-only", "control": control })
 }
 
-/// Starts a process of one role; JSON is YAML as well.
+/// Starts a daemon with one role; its settings are JSON, which is valid YAML.
 fn start(cluster: &Value, node: &str, role: &str, values: &Value) -> RunningDaemon {
     let text = json!({ "node": node, "zone": "local-a", "cluster": cluster, role: values });
     let settings = parse(Path::new("test"), &text.to_string()).expect("the settings hold");
@@ -81,11 +82,11 @@
             .map(|(number, engine)| start_agent(&cluster, number, engine.address()))
             .collect();
         let fleet = Self { control, entry, agents, engines, _folder: folder };
-        wait_for("a whole replica", || fleet.ask().0 == 200);
+        wait_for("a whole replica", || fleet.request_completion().0 == 200);
         fleet
     }
 
-    fn ask(&self) -> (u16, Value) {
+    fn request_completion(&self) -> (u16, Value) {
         let entry = self.entry.entry.as_ref().expect("an entry").address();
         let body = json!({ "model": "desk", "prompt": "lot 7", "max_tokens": 2 });
         let response = attohttpc::post(format!("http://{entry}/v1/completions"))
@@ -103,10 +104,10 @@
         read(response)
     }
 
-    /// Groups as the leader among `hosts` shows them, with the leader.
+    /// Number of the leader among `hosts`, and the groups that it reports.
     fn groups(&self, hosts: &[usize]) -> (usize, Value) {
         let started = Instant::now();
-        while started.elapsed() < SOON {
+        while started.elapsed() < TIMEOUT {
             for host in hosts {
                 let (status, groups) = self.get(*host, "/v1/groups");
                 if status == 200 {
@@ -132,19 +133,19 @@
     (status, serde_json::from_str(&text).expect("the answer is JSON"))
 }
 
-fn wait_for(what: &str, done: impl Fn() -> bool) {
+fn wait_for(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
-    while !done() {
-        assert!(started.elapsed() < SOON, "not in time: {what}");
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn groups_and_requests_outlive_the_leader() {
-    // The leading control host goes away. Its successor knows no agent yet; would it take their
-    // groups for broken, callers would be refused by replicas that are whole, and the groups
-    // would be taken apart and formed again for nothing.
+fn groups_and_requests_survive_a_leader_change() {
+    // The leader stops, and its successor has no connection to any agent yet. If it took their
+    // groups for broken, whole replicas would refuse requests, and the groups would be dissolved
+    // and formed again for no reason.
     let fleet = TestFleet::ready();
     let (leader, before) = fleet.groups(&[0, 1, 2]);
     let others: Vec<usize> = (0..3).filter(|host| *host != leader).collect();
@@ -152,18 +153,18 @@
     fleet.control[leader].stop();
     let started = Instant::now();
     let mut answers = Vec::new();
-    while started.elapsed() < PAST_GRACE {
-        answers.push(fleet.ask());
+    while started.elapsed() < OBSERVATION_TIME {
+        answers.push(fleet.request_completion());
         std::thread::sleep(Duration::from_millis(20));
     }
     let (_, after) = fleet.groups(&others);
-    let last = fleet.ask();
+    let last = fleet.request_completion();
 
     assert_eq!(last.0, 200);
     assert_eq!(after, before, "a group changed");
     let refused: Vec<&(u16, Value)> = answers.iter().filter(|(status, _)| *status != 200).collect();
-    // On a busy machine the rules lease may run out before the next leader is there; nothing
-    // else may refuse.
+    // On a busy machine the rules lease may expire before the next leader is elected; that is the
+    // only permitted reason for a refusal.
     assert!(
         refused
             .iter()
--- a/crates/cli/tests/load_limits.rs
+++ b/crates/cli/tests/load_limits.rs
@@ -1,4 +1,4 @@
-//! Limits, queues and refusals on a whole fleet.
+//! Concurrency limits, queues and refusals on a complete fleet.
 
 mod fleet;
 
@@ -12,7 +12,7 @@
 
 use fleet::{completion, post, ready_fleet};
 
-/// One refusal or answer: status, `Retry-After` and body.
+/// Response to one request: status, `Retry-After` in seconds, and body.
 struct Reply {
     status: u16,
     retry_after: Option<u64>,
@@ -33,7 +33,7 @@
     Reply { status, retry_after, body: serde_json::from_str(&text).expect("the reply is JSON") }
 }
 
-/// Sends `count` requests at one time.
+/// Sends `count` requests concurrently.
 fn send_many(address: SocketAddr, team: &'static str, count: usize, tokens: u32) -> Vec<Reply> {
     let calls: Vec<_> = (0..count)
         .map(|number| {
@@ -43,7 +43,8 @@
     calls.into_iter().map(|call| call.join().expect("the caller runs")).collect()
 }
 
-/// A fleet whose replicas run `capacity` requests each, under `admit` for everyone.
+/// Plan for a fleet whose replicas run `capacity` requests each and whose rules apply `admit` to
+/// every request.
 fn plan(capacity: u32, admit: &str) -> DemoPlan {
     let rules = format!(
         "services:\n  - name: desk\n    hosts_per_replica: 2\n    replicas: 2\n    capacity: \
@@ -61,28 +62,28 @@
 }
 
 #[test]
-fn team_runs_no_more_at_a_time_than_its_rule_allows() {
-    // A team sends a burst. Its rule allows it two requests at a time; the rest wait and are
-    // answered, so that its callers notice a delay and no failure.
+fn team_stays_within_its_concurrency_limit() {
+    // A team sends a burst of requests, of which its rule allows two at a time. The others must
+    // wait in the queue and be answered.
     let fleet = ready_fleet(&plan(64, "{ concurrency: 2 }"));
     let address = fleet.caller_address();
 
     let burst = std::thread::spawn(move || send_many(address, "office", 12, 10));
-    let mut most = 0;
+    let mut max_running = 0;
     while !burst.is_finished() {
-        most = most.max(metric(address, "briartray_running_requests"));
+        max_running = max_running.max(metric(address, "briartray_running_requests"));
     }
     let replies = burst.join().expect("the burst ends");
 
     assert!(replies.iter().all(|reply| reply.status == 200));
-    assert!((1..=2).contains(&most), "{most} requests ran at one time");
+    assert!((1..=2).contains(&max_running), "{max_running} requests ran at the same time");
     fleet.stop();
 }
 
 #[test]
-fn callers_over_capacity_are_told_at_once_when_to_come_back() {
-    // Thirty callers come at one time and replicas can answer a few before the deadline. The others
-    // learn that their request was not run and when to come back, instead of waiting in vain.
+fn callers_over_capacity_are_refused_at_once_with_retry_after() {
+    // Thirty concurrent requests exceed what the replicas can answer within the deadline. The excess
+    // must be refused with `not_run` and a retry delay instead of waiting until the deadline.
     let fleet = ready_fleet(&plan(1, "{ deadline_ms: 1500 }"));
     let address = fleet.caller_address();
     for number in 0..3 {
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn full_queue_of_one_team_leaves_other_teams_alone() {
+fn full_queue_of_one_team_does_not_affect_other_teams() {
     let fleet = ready_fleet(&plan(1, "{ queue: 2 }"));
     let address = fleet.caller_address();
 
@@ -122,18 +123,18 @@
     fleet.stop();
 }
 
-/// Requests that the engine at `address` holds, by its own report.
+/// Number of running and waiting requests that the engine at `address` reports.
 fn engine_load(address: SocketAddr) -> u64 {
     let response = attohttpc::get(format!("http://{address}/load")).send();
-    let body = response.and_then(attohttpc::Response::bytes).expect("the engine tells its load");
+    let body = response.and_then(attohttpc::Response::bytes).expect("the engine reports its load");
     let load: Value = serde_json::from_slice(&body).expect("the load is JSON");
     load["running"].as_u64().unwrap_or_default() + load["waiting"].as_u64().unwrap_or_default()
 }
 
 #[test]
-fn limit_holds_over_two_entries() {
-    // A team calls through two entries at once. If each of them applied the whole limit, the engine
-    // would see twice what the rule allows.
+fn concurrency_limit_holds_across_two_entries() {
+    // A team sends requests through two entries at once. If each entry applied the full limit, the
+    // engine would run twice as many requests as the rule allows.
     let rules = "
 services:
   - { name: desk, kind: engine, hosts_per_replica: 1, replicas: 1, capacity: 64 }
@@ -153,14 +154,14 @@
         .into_iter()
         .map(|entry| std::thread::spawn(move || send_many(entry, "office", 12, 20)))
         .collect();
-    let mut most = 0;
+    let mut max_running = 0;
     while bursts.iter().any(|burst| !burst.is_finished()) {
-        most = most.max(engine_load(engine));
+        max_running = max_running.max(engine_load(engine));
         std::thread::sleep(Duration::from_millis(5));
     }
     let replies: Vec<Reply> =
         bursts.into_iter().flat_map(|burst| burst.join().expect("the burst ends")).collect();
 
     assert!(replies.iter().all(|reply| reply.status == 200));
-    assert!((1..=4).contains(&most), "{most} requests ran at one time");
+    assert!((1..=4).contains(&max_running), "{max_running} requests ran at the same time");
 }
--- a/crates/cli/tests/outcomes.rs
+++ b/crates/cli/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers are told when processes and paths fail under load, on real processes.
+//! Outcomes reported to callers when processes and network paths fail under load, on real processes.
 
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
@@ -8,14 +8,14 @@
 use briartray::trial::{OutcomeRow, ProcessFleet, TrialFault, TrialPlan, run_fault};
 use serde_json::{Value, json};
 
-/// Length of the load.
-const LENGTH: Duration = Duration::from_secs(4);
+/// Duration of the load.
+const LOAD_LENGTH: Duration = Duration::from_secs(4);
 
-/// One fleet at a time: each has more than a dozen processes.
-static ONE_FLEET: Mutex<()> = Mutex::new(());
+/// Runs one fleet at a time, because each has more than a dozen processes.
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// How long a condition may take; generous, because a busy machine is no failure.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn programs() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_briartray")).parent().expect("a folder")
@@ -34,10 +34,11 @@
     json_of(request.bytes(body.as_bytes().to_vec()).send())
 }
 
-/// Brings `fault` about; fails when a request was lost, doubled, crossed or told an untruth.
-fn bring_about(fault: TrialFault) -> OutcomeRow {
-    let _turn = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
-    let row = run_fault(programs(), fault, LENGTH).expect("the trial runs; build the workspace");
+/// Injects `fault`; fails if a request is lost, run twice, crossed or given a false outcome.
+fn run_clean_fault(fault: TrialFault) -> OutcomeRow {
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let row =
+        run_fault(programs(), fault, LOAD_LENGTH).expect("the trial runs; build the workspace");
     assert!(row.is_clean(), "{row:?}");
     assert_eq!(row.answered + row.refused + row.unknown, row.sent, "{row:?}");
     row
@@ -45,99 +46,99 @@
 
 #[test]
 fn entry_killed_between_claim_and_dispatch() {
-    // An entry dies after it claimed a key and before the order reaches an agent. The caller asks
-    // another entry with the same key: it is told that the outcome is not known, and nothing runs.
-    let row = bring_about(TrialFault::EntryKilledBeforeDispatch);
+    // An entry is killed after claiming a key and before the order reaches an agent. The caller
+    // retries through another entry: the outcome must be `unknown` and the call must not run.
+    let row = run_clean_fault(TrialFault::EntryKilledBeforeDispatch);
 
     assert_eq!((row.answered, row.unknown), (row.sent / 2, row.sent / 2), "{row:?}");
 }
 
 #[test]
 fn entry_killed_between_dispatch_and_answer() {
-    // An entry dies while the service books the lot. The caller asks another entry with the same
-    // key: the call is not run again, and the caller is not told that it never ran.
-    let row = bring_about(TrialFault::EntryKilledBeforeAnswer);
+    // An entry is killed while the service runs the call. The caller retries with the same key
+    // through another entry: the call must not run again nor be reported as not run.
+    let row = run_clean_fault(TrialFault::EntryKilledBeforeAnswer);
 
     assert!(row.answered > 0 && row.unknown > 0, "{row:?}");
     assert_eq!(row.refused, 0, "{row:?}");
 }
 
 #[test]
-fn agent_stands_still() {
-    // An agent process pauses for seconds and wakes with its connections and orders still there.
-    // Callers of its replica must not wait for it, and what it wakes with must not run twice.
-    let row = bring_about(TrialFault::AgentStopped);
+fn paused_agent_neither_blocks_nor_repeats_calls() {
+    // An agent is paused for seconds and resumes with its connections and orders intact. Callers
+    // of its replica must not wait for it, and the orders it still has must not run twice.
+    let row = run_clean_fault(TrialFault::AgentStopped);
 
     assert!(row.answered * 10 > row.sent * 8, "{row:?}");
 }
 
 #[test]
-fn engine_stands_still() {
-    // An engine pauses in the middle of its streams while its agent is well. A caller sees no
-    // token for seconds and must still get its whole answer or a true end.
-    let row = bring_about(TrialFault::EngineStopped);
+fn paused_engine_ends_requests_with_a_true_outcome() {
+    // An engine is paused in the middle of its streams while its agent runs. Callers get no token
+    // for seconds and must still get a complete answer or a correct outcome.
+    let row = run_clean_fault(TrialFault::EngineStopped);
 
     assert!(row.answered * 10 > row.sent * 8, "{row:?}");
 }
 
 #[test]
-fn open_paths_are_forgotten() {
-    // Something between the hosts loses track of every open connection; new ones work. Answers
-    // that lie ready must come over new connections, without a gap and without a piece twice.
-    let row = bring_about(TrialFault::PathsForgotten);
+fn black_holed_connections_lose_and_repeat_nothing() {
+    // All open connections between the hosts are black-holed; new ones work. Answers must continue
+    // over new connections, without missing or repeated chunks.
+    let row = run_clean_fault(TrialFault::PathsForgotten);
 
     assert!(row.answered * 2 > row.sent, "{row:?}");
 }
 
 #[test]
 fn engines_answer_late_crossed_cut_and_silent() {
-    // An engine hands pieces to the wrong request, cuts streams and goes silent in the middle. A
-    // trader would read another desk's draft, or half a draft that looks whole.
-    let row = bring_about(TrialFault::BadAnswers);
+    // An engine sends chunks to the wrong request, cuts streams and stops sending. A caller must
+    // not get the answer to another request, or a truncated answer that looks complete.
+    let row = run_clean_fault(TrialFault::BadAnswers);
 
     assert!(row.answered * 10 > row.sent * 8, "{row:?}");
 }
 
 #[test]
 fn services_answer_late_crossed_cut_and_silent() {
-    // A plain service runs the call and its answer never comes, comes cut or is another's. Without
-    // a key the call is not sent again; with one it never runs twice.
-    let row = bring_about(TrialFault::BadService);
+    // A plain service runs a call and its answer is missing, truncated or another call's. A call
+    // without a key must not be retried, and a call with a key must not run twice.
+    let row = run_clean_fault(TrialFault::BadService);
 
     assert!(row.answered * 10 > row.sent * 7, "{row:?}");
 }
 
 #[test]
-fn zone_goes_dark() {
-    // Every agent of one availability zone dies at once. Requests in progress there end truthfully
-    // or run in the other zone.
-    let row = bring_about(TrialFault::ZoneKilled);
+fn killed_zone_leaves_every_request_a_true_outcome() {
+    // All agents of one availability zone are killed at once. Requests in progress there must end
+    // with a correct outcome or run in the other zone.
+    let row = run_clean_fault(TrialFault::ZoneKilled);
 
     assert!(row.answered * 10 > row.sent * 7, "{row:?}");
 }
 
 #[test]
 fn terminated_agents_finish_their_work() {
-    // Agents are told to end, as by a rolling restart. Nobody may notice.
-    let row = bring_about(TrialFault::AgentsTerminated);
+    // Agents shut down gracefully, as in a rolling restart. Every request must be answered.
+    let row = run_clean_fault(TrialFault::AgentsTerminated);
 
     assert_eq!(row.answered, row.sent, "{row:?}");
 }
 
 #[test]
 fn terminated_entry_finishes_its_requests() {
-    // An entry is told to end while callers wait. Each open request gets its answer; callers that
-    // come later go elsewhere.
-    let row = bring_about(TrialFault::EntryTerminated);
+    // An entry shuts down gracefully while callers wait. Open requests must be answered, and later
+    // callers must be able to use the other entry.
+    let row = run_clean_fault(TrialFault::EntryTerminated);
 
     assert_eq!(row.unknown, 0, "{row:?}");
 }
 
 #[test]
 fn keys_and_stops_survive_a_killed_control_host() {
-    // The only control host is killed and comes back with its folder. A key that ran must not run
-    // again, and a host that was leaving must not get work again.
-    let _turn = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+    // The only control host is killed and restarts with its data folder. A call whose key has run
+    // must not run again, and the planned stop of a host must still be in effect.
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let plan = TrialPlan::new(programs()).endpoints(2, 1);
     let mut fleet = ProcessFleet::start(&plan).expect("the fleet starts; build the workspace");
     let (entry, operator) = (fleet.entry_addresses()[0], fleet.operator_address());
@@ -150,7 +151,7 @@
     let started = Instant::now();
     let stops = || json_of(attohttpc::get(format!("http://{operator}/v1/stops")).send());
     while stops()["stops"][0]["safe_to_stop"] != true {
-        assert!(started.elapsed() < LIMIT, "{}", stops());
+        assert!(started.elapsed() < TIMEOUT, "{}", stops());
         std::thread::sleep(Duration::from_millis(100));
     }
     let second = post(entry, "/services/ledger/confirm", Some("lot-7"), "confirm lot 7");
--- a/crates/cli/tests/programs.rs
+++ b/crates/cli/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The program driven as users drive it: help, exit codes, a demonstration under load.
+//! End-to-end tests of the `briartray` program: help, exit codes, and a demonstration under load.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, ChildStdout, Command, Output, Stdio};
@@ -11,7 +11,7 @@
     Command::new(PROGRAM).args(arguments).output().expect("the program runs")
 }
 
-/// A running demonstration; it is killed when dropped.
+/// A running demonstration that is killed when dropped.
 struct RunningDemo {
     child: Child,
     lines: Vec<String>,
@@ -28,7 +28,7 @@
             .expect("the demonstration starts");
         let mut output = BufReader::new(child.stdout.take().expect("its output is piped"));
         let mut lines = Vec::new();
-        // The last line names the last plain service.
+        // The last line of the start-up output is that of the second plain service.
         while lines.iter().filter(|line: &&String| line.starts_with("service")).count() < 2 {
             let mut line = String::new();
             let read = output.read_line(&mut line).expect("the output is text");
@@ -38,7 +38,7 @@
         Self { child, lines, _output: output }
     }
 
-    /// The addresses on the lines that begin with `word`.
+    /// Addresses on the output lines that start with `word`.
     fn addresses(&self, word: &str) -> Vec<String> {
         let lines = self.lines.iter().filter_map(|line| line.strip_prefix(word));
         lines.map(|line| line.trim().trim_start_matches("http://").to_owned()).collect()
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn demonstration_stands_a_load_and_loses_nothing() {
+fn demonstration_answers_every_request_of_a_load() {
     let demo = RunningDemo::start();
     let callers = demo.addresses("callers");
     let stand_ins = [demo.addresses("engine"), demo.addresses("service")].concat();
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn load_without_an_entry_tells_that_all_is_lost() {
-    // Nothing listens where the load goes. A load that called this a success would hide an outage.
+fn load_without_an_entry_fails_with_no_connection() {
+    // Nothing listens at the target address. The load must fail: success would hide an outage.
     let output =
         briartray(&["load", "--address", "127.0.0.1:1", "--rate", "20", "--seconds", "0.5"]);
 
--- a/crates/cli/tests/replay.rs
+++ b/crates/cli/tests/replay.rs
@@ -1,4 +1,4 @@
-//! `briartray replay` on the committed traces and on statements that do not hold.
+//! End-to-end tests of `briartray replay` on the example traces and on a failed expectation.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn committed_traces_end_as_stated() {
+fn committed_traces_meet_their_expected_outcomes() {
     let traces = committed_traces();
 
     let failed: Vec<String> = traces
@@ -37,8 +37,8 @@
 
 #[test]
 fn differing_outcome_fails_the_run() {
-    // A change of the planner makes an outage longer than the trace states. Whoever runs the trace
-    // must see it from the exit code and read what was measured.
+    // An outage is longer than the trace expects. The exit code must report the failure and the
+    // error message must name the expectation.
     let path = committed_traces()
         .into_iter()
         .find(|path| path.ends_with("failed-host.jsonl"))
--- a/crates/cli/tests/thin_path.rs
+++ b/crates/cli/tests/request_path.rs
@@ -1,4 +1,4 @@
-//! The whole path: caller, entry, agent, engine, and back.
+//! Requests through the complete path: caller, entry, agent, engine, and back.
 
 mod fleet;
 
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn one_host_of_two_serves_nothing() {
-    // One host of a replica of two never comes up. A caller is told that the request was not run
-    // instead of getting an answer from half a replica.
+fn replica_without_its_second_host_serves_nothing() {
+    // One host of a replica of two never starts. A caller must be refused with `not_run` instead of
+    // getting an answer from an incomplete replica.
     let plan = DemoPlan { engines: 1, ..DemoPlan::default() };
     let fleet = briartray::demo::DemoFleet::start(&plan).expect("the fleet starts");
     let body = completion("status of lot 7", 5, false);
--- a/crates/cli/tests/rules_command.rs
+++ b/crates/cli/tests/rules_command.rs
@@ -1,4 +1,4 @@
-//! `briartray rules check` and `explain` as operators use them.
+//! End-to-end tests of `briartray rules check` and `briartray rules explain`.
 
 use std::process::{Command, Output};
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn check_passes_a_document_that_holds() {
+fn check_accepts_a_valid_document() {
     let output = briartray(&["rules", "check", DEMO_RULES]);
 
     assert!(output.status.success(), "{output:?}");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn check_refuses_what_is_no_document() {
+fn check_rejects_input_that_is_not_a_rule_document() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("rules.yaml");
     std::fs::write(&file, "rules: 7\n").expect("the file is written");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn explain_tells_the_decider_and_why_others_are_passed_over() {
+fn explain_reports_the_deciding_rule_and_why_others_do_not_apply() {
     let output =
         briartray(&["rules", "explain", DEMO_RULES, "--team", "default", "--output", "json"]);
 
--- a/crates/cli/tests/rules_in_force.rs
+++ b/crates/cli/tests/rules_in_force.rs
@@ -1,4 +1,4 @@
-//! What `accepted` means for a change of rules, on real processes.
+//! Guarantees of an `accepted` rule change, on real processes: no entry decides under older rules.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,19 +9,19 @@
 use briartray_model::lease::HoldPolicy;
 use serde_json::{Value, json};
 
-/// Generous, because a busy machine is no failure.
-const SOON: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two looks.
-const CHECK: Duration = Duration::from_millis(50);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Requests that a woken entry is sent.
+/// Number of requests sent to a resumed entry.
 const REQUESTS: usize = 100;
 
-/// One fleet at a time: each has several processes.
-static ONE_FLEET: Mutex<()> = Mutex::new(());
+/// Runs one fleet at a time, because each has several processes.
+static FLEET_LOCK: Mutex<()> = Mutex::new(());
 
-/// Rules under which `admit` decides every request.
+/// Rule document in which `admit` applies to every request.
 fn rules(admit: &str) -> String {
     format!(
         "services: [{{ name: desk, replicas: 1 }}]\nrules:\n- rule: everyone\n  \
@@ -29,7 +29,7 @@
     )
 }
 
-/// A small fleet whose entries hold their rules under `hold`.
+/// Starts a fleet with two entries that keep unconfirmed rules as `hold` says.
 fn fleet(controls: usize, hold: HoldPolicy) -> ProcessFleet {
     let programs = Path::new(env!("CARGO_BIN_EXE_briartray")).parent().expect("a folder");
     let plan = TrialPlan::new(programs)
@@ -41,7 +41,7 @@
     ProcessFleet::start(&plan).expect("the fleet starts; build the workspace")
 }
 
-/// Sends a document; returns status and body of the answer.
+/// Applies a rule document; returns the status and body of the response.
 fn apply(operator: SocketAddr, change: u128, document: &str) -> (u16, Value) {
     let body = json!({ "change": format!("{change:032x}"), "text": document });
     post(operator, "/v1/rules", &body)
@@ -51,47 +51,46 @@
     post_json(address, path, body).expect("the process answers")
 }
 
-/// Asks for one token; returns status and body.
-fn ask(entry: SocketAddr) -> (u16, Value) {
+/// Requests one token; returns the status and body of the response.
+fn request_token(entry: SocketAddr) -> (u16, Value) {
     ask_desk(entry, 1).expect("the entry answers")
 }
 
-/// Looks again and again until `look` holds.
-fn wait_for(what: &str, mut look: impl FnMut() -> bool) {
+/// Polls until `condition` holds; fails after `TIMEOUT`.
+fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    while !look() {
-        assert!(started.elapsed() < SOON, "not in time: {what}");
-        std::thread::sleep(CHECK);
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 #[test]
-fn paused_entry_decides_nothing_under_replaced_rules() {
-    // An entry's process is stopped, as by a virtual machine that is moved, while the rules
-    // change so that nobody is let in any more. When it goes on, no caller may get in under the
-    // rules that it still has in memory.
-    let _turn = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+fn resumed_entry_admits_nothing_under_replaced_rules() {
+    // An entry is paused, as during a live migration, while a rule change denies all requests.
+    // After it resumes it must not admit a caller under the old rules that it still has in memory.
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let fleet = fleet(1, HoldPolicy::BoundedMs(4000));
     let [paused, other] = [fleet.entry_addresses()[0], fleet.entry_addresses()[1]];
-    assert_eq!(ask(paused).0, 200);
+    assert_eq!(request_token(paused).0, 200);
     fleet.entries[0].signal(ProcessSignal::Stop);
 
     let (status, reply) = apply(fleet.operator_address(), 1, &rules("{ allow: false }"));
     fleet.entries[0].signal(ProcessSignal::Continue);
-    let answers: Vec<(u16, Value)> = (0..REQUESTS).map(|_| ask(paused)).collect();
+    let answers: Vec<(u16, Value)> = (0..REQUESTS).map(|_| request_token(paused)).collect();
 
     assert_eq!((status, reply["outcome"].as_str()), (200, Some("accepted")), "{reply}");
-    let let_in = answers.iter().filter(|(status, _)| *status == 200).count();
-    assert_eq!(let_in, 0, "the woken entry let callers in after the change was accepted");
+    let admitted = answers.iter().filter(|(status, _)| *status == 200).count();
+    assert_eq!(admitted, 0, "the resumed entry admitted callers after the change was accepted");
     assert!(answers.iter().all(|(_, body)| body["outcome"] == "not_run"), "{answers:?}");
-    assert_eq!(ask(other).1["code"], "forbidden");
+    assert_eq!(request_token(other).1["code"], "forbidden");
 }
 
 #[test]
 fn lost_majority_stops_serving_only_under_a_bound() {
-    // Two of three control hosts are lost for good. With a bound entries refuse once it has
-    // passed, because the others might have accepted a change; without one they go on.
-    let _turn = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+    // Two of three control hosts are killed. With a bound, entries must refuse requests once it has
+    // passed, because a change might have been accepted elsewhere; without one they must serve on.
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let bounded = fleet(3, HoldPolicy::BoundedMs(3500));
     let unbounded = fleet(3, HoldPolicy::UntilForgotten);
     for fleet in [&bounded, &unbounded] {
@@ -99,9 +98,9 @@
         fleet.controls[1].signal(ProcessSignal::Kill);
     }
 
-    wait_for("a refusal under the bound", || ask(bounded.entry_addresses()[0]).0 == 503);
-    let refused = ask(bounded.entry_addresses()[0]);
-    let served = ask(unbounded.entry_addresses()[0]);
+    wait_for("a refusal under the bound", || request_token(bounded.entry_addresses()[0]).0 == 503);
+    let refused = request_token(bounded.entry_addresses()[0]);
+    let served = request_token(unbounded.entry_addresses()[0]);
 
     assert_eq!(refused.1["code"], "rules_unconfirmed");
     assert_eq!(refused.1["outcome"], "not_run");
@@ -109,11 +108,11 @@
 }
 
 #[test]
-fn entry_that_is_gone_is_waited_for_until_it_is_struck_off() {
-    // Without a bound a dead entry cannot be told from one that is cut off and still serves. The
-    // operator is told that the change is committed and whom it waits for, strikes the entry off,
-    // and gets the acceptance of the same change.
-    let _turn = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+fn change_waits_for_a_dead_entry_until_it_is_forgotten() {
+    // Without a bound, a dead entry cannot be distinguished from a partitioned one that still
+    // serves. The pending change must name the entry, and be accepted once an operator has
+    // forgotten the entry and retries the change.
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let fleet = fleet(1, HoldPolicy::UntilForgotten);
     let operator = fleet.operator_address();
     fleet.entries[1].signal(ProcessSignal::Kill);
@@ -129,15 +128,15 @@
 }
 
 #[test]
-fn entry_that_ends_in_order_holds_nothing_up() {
-    // An entry is stopped for an upgrade. It gives its lease back, so that changes do not wait
-    // for it, not even where leases have no bound.
-    let _turn = ONE_FLEET.lock().unwrap_or_else(PoisonError::into_inner);
+fn change_does_not_wait_for_an_entry_that_shut_down() {
+    // An entry shuts down gracefully, as for an upgrade. It must return its lease, so that changes
+    // do not wait for it, even if leases have no bound.
+    let _lock = FLEET_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let mut fleet = fleet(1, HoldPolicy::UntilForgotten);
     let operator = fleet.operator_address();
     fleet.entries[1].signal(ProcessSignal::Terminate);
 
-    let ended = fleet.entries[1].wait(SOON).expect("the entry ends");
+    let ended = fleet.entries[1].wait(TIMEOUT).expect("the entry ends");
     let (status, reply) = apply(operator, 1, &rules("{ allow: false }"));
 
     assert!(ended.success(), "{ended:?}");
--- a/crates/cli/tests/stops.rs
+++ b/crates/cli/tests/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops, from the operator's call to `safe to stop`.
+//! Planned stops, from the operator's request until the stop is reported as safe.
 
 mod fleet;
 
@@ -11,10 +11,10 @@
 
 use fleet::{completion, post, read_stream, ready_fleet};
 
-/// How long a condition may take; generous, because a busy machine is no failure.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Two engines, each a replica of its own.
+/// Rules for two replicas of one engine each.
 const RULES: &str = "
 services:
   - { name: desk, kind: engine, hosts_per_replica: 1, replicas: 2, capacity: 64 }
@@ -32,17 +32,17 @@
         rules: RULES.to_owned(),
         ..DemoPlan::default()
     });
-    // The entry learns of a group up to one renewal after control does.
+    // An entry learns of a group up to one lease renewal later than the control host.
     let (callers, operators) = (fleet.caller_address(), fleet.operator_address());
     wait_for("two whole groups", || whole_groups(operators) == 2);
     wait_for("an entry that knows them", || get(callers, "/readyz")["whole_groups"] == 2);
     fleet
 }
 
-fn wait_for(what: &str, holds: impl Fn() -> bool) {
+fn wait_for(what: &str, condition: impl Fn() -> bool) {
     let started = Instant::now();
-    while !holds() {
-        assert!(started.elapsed() < LIMIT, "{what} did not come about");
+    while !condition() {
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -68,15 +68,15 @@
     get(address, "/v1/stops")["stops"][0].clone()
 }
 
-/// Runs of the engine with this number.
+/// Number of requests that the engine with this number has run.
 fn runs(fleet: &DemoFleet, number: usize) -> usize {
     fleet.engines()[number].runs().all().len()
 }
 
 #[test]
-fn stop_cuts_off_nothing_and_ends_new_work() {
-    // Hosts are returned to the old provider while traders wait for drafts. A draft that is being
-    // written must come whole, and the host must come to rest.
+fn planned_stop_completes_streams_and_takes_no_new_work() {
+    // A host is stopped while it is streaming answers. These streams must complete, and the host
+    // must not get new requests once it is safe to stop.
     let fleet = two_replicas();
     let (callers, operators) = (fleet.caller_address(), fleet.operator_address());
     let drafts: Vec<_> = (0..8)
@@ -128,7 +128,7 @@
 
 #[test]
 fn stop_below_the_rules_is_refused_with_the_reason() {
-    // An operator mistypes the provider and would take the whole service down.
+    // The target covers all replicas of the service; stopping it would violate `min_replicas`.
     let fleet = two_replicas();
 
     let (status, answer) = plan(fleet.operator_address(), &json!({ "provider": "local" }));
--- a/crates/cli/tests/seen_from_outside.rs
+++ b/crates/cli/tests/traces_and_metrics.rs
@@ -1,4 +1,4 @@
-//! Traces and metrics of a request through the whole path.
+//! Traces and metrics of requests through the complete path.
 
 mod fleet;
 
@@ -8,15 +8,15 @@
 use briartray::demo::DemoPlan;
 use serde_json::Value;
 
-use fleet::{completion, post, post_once, read_stream, ready_fleet};
+use fleet::{completion, post, post_keyed, read_stream, ready_fleet};
 
 const TRACE: &str = "0af7651916cd43dd8448eb211c80319c";
 const CALLER_SPAN: &str = "b7ad6b7169203331";
 
-/// How long the spans may take to reach the file; only a hang takes this long.
-const SPAN_WAIT: Duration = Duration::from_secs(30);
+/// Time limit for the spans to reach the file; generous so that only a hang exceeds it.
+const SPAN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The spans of the trace in `file`, once there are `count` of them.
+/// Waits for `count` spans of the trace in `file` and returns them.
 fn read_spans(file: &Path, count: usize) -> Vec<Value> {
     let started = Instant::now();
     loop {
@@ -29,13 +29,13 @@
         if spans.len() >= count {
             return spans;
         }
-        assert!(started.elapsed() < SPAN_WAIT, "only these spans came: {spans:?}");
+        assert!(started.elapsed() < SPAN_TIMEOUT, "fewer than {count} spans arrived: {spans:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn one_request_yields_four_hops_under_the_callers_trace() {
+fn request_has_four_spans_under_the_trace_of_its_caller() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("spans.jsonl");
     let plan = DemoPlan { trace_file: Some(file.clone()), ..DemoPlan::default() };
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn metrics_tell_what_happened() {
+fn metrics_count_answered_requests() {
     let fleet = ready_fleet(&DemoPlan::default());
     let address = fleet.caller_address();
     post(address, "/v1/completions", &completion("lot 7", 3, false));
     let (_, stream) = post(address, "/v1/completions", &completion("lot 8", 4, true));
-    let (status, _) = post_once(address, "/v1/completions", "k", &completion("lot 9", 2, false));
+    let (status, _) = post_keyed(address, "/v1/completions", "k", &completion("lot 9", 2, false));
 
     let text = attohttpc::get(format!("http://{address}/metrics"))
         .send()
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: runs the roles that its settings name.
+//! The `briartrayd` daemon, which runs the roles that its settings file configures.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,11 +9,11 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Exit code for settings or addresses that cannot be used.
+/// Exit code for invalid settings or unusable addresses, and for a role that failed.
 const EXIT_UNUSABLE: u8 = 2;
 
-/// Exit code when work in progress was cut off by a second signal.
-const EXIT_CUT_OFF: i32 = 1;
+/// Exit code after a second signal has aborted the work in progress.
+const EXIT_ABORTED: i32 = 1;
 
 #[derive(Debug, Options)]
 struct DaemonOptions {
@@ -21,7 +21,10 @@
     help: bool,
     #[options(required, help = "settings file in YAML", meta = "FILE")]
     settings: PathBuf,
-    #[options(no_short, help = "run before endpoints that announce themselves")]
+    #[options(
+        no_short,
+        help = "run an entry or control host for endpoints that register themselves"
+    )]
     registered: bool,
 }
 
@@ -42,15 +45,18 @@
     }
     let settings = settings::load(&options.settings).map_err(|error| error.to_string())?;
     logs::start(&settings.log.level);
-    // Signals are caught before any role starts, so that an early stop is a clean one too.
+    // Signal handlers are installed before any role starts, so that an early stop is graceful too.
     let mut signals = Signals::new([SIGINT, SIGTERM]).map_err(|error| error.to_string())?;
     let daemon = RunningDaemon::start(&settings).map_err(|error| error.to_string())?;
-    log::info!(node = settings.node.as_str(); "started");
+    log::info!(node = settings.node.as_str(); "daemon started");
     signals.forever().next();
-    log::info!("stopping");
-    end_on_second_signal(signals);
+    log::info!("received a stop signal; draining work in progress");
+    exit_on_second_signal(signals);
     if !daemon.drain(&settings.stop) {
-        log::warn!("work was left after {} ms; raise stop.wait_ms", settings.stop.wait_ms);
+        log::warn!(
+            "work still in progress after draining for {} ms is dropped; raise stop.wait_ms",
+            settings.stop.wait_ms
+        );
     }
     match daemon.failure() {
         Some(detail) => Err(detail.to_owned()),
@@ -58,12 +64,12 @@
     }
 }
 
-/// Ends the process at once when it is told a second time.
-fn end_on_second_signal(mut signals: Signals) {
+/// Starts a thread that exits the process at once on the next signal.
+fn exit_on_second_signal(mut signals: Signals) {
     std::thread::spawn(move || {
         if signals.forever().next().is_some() {
-            log::warn!("ended by a second signal; work in progress is cut off");
-            std::process::exit(EXIT_CUT_OFF);
+            log::warn!("received a second signal; exiting without waiting for work in progress");
+            std::process::exit(EXIT_ABORTED);
         }
     });
 }
--- a/crates/daemon/tests/control_hosts.rs
+++ b/crates/daemon/tests/control_hosts.rs
@@ -1,4 +1,4 @@
-//! Three control hosts as real processes, with the failures that their operators meet.
+//! Failures of three control hosts that run as real processes.
 
 mod hosts;
 
@@ -7,26 +7,26 @@
 
 use hosts::{ControlHosts, wait_for};
 
-/// Operators that race for each revision.
-const RACERS: u128 = 6;
+/// Number of operators that send concurrent changes for each revision.
+const CONCURRENT_OPERATORS: u128 = 6;
 
 #[test]
-fn one_racer_wins_though_the_leader_is_killed() {
-    // Six operators send different changes on the same revision, and the leader is killed in the
-    // middle. Two winners would mean that one operator's change vanished; a resend with another
-    // outcome would tell an operator the wrong thing.
+fn one_concurrent_change_wins_although_the_leader_is_killed() {
+    // Six operators send different changes for the same revision, and the leader is killed
+    // meanwhile. If two of them succeeded, one change would be lost; a retry with another outcome
+    // would misinform its operator.
     let mut cluster = ControlHosts::ready();
     for round in 0..6_u64 {
         let leader = cluster.leader();
         let shared = Arc::new(cluster);
-        let racers: Vec<_> = (0..RACERS)
-            .map(|racer| {
+        let operators: Vec<_> = (0..CONCURRENT_OPERATORS)
+            .map(|operator| {
                 let cluster = Arc::clone(&shared);
-                let change = u128::from(round) * RACERS + racer + 1;
+                let change = u128::from(round) * CONCURRENT_OPERATORS + operator + 1;
                 std::thread::spawn(move || {
-                    let first = cluster.apply_for_certain(change, round);
-                    let again = cluster.apply_for_certain(change, round);
-                    assert_eq!(first, again, "a resend got another outcome");
+                    let first = cluster.apply_until_certain(change, round);
+                    let again = cluster.apply_until_certain(change, round);
+                    assert_eq!(first, again, "a retry got another outcome");
                     first.0
                 })
             })
@@ -34,9 +34,11 @@
         if round % 2 == 1 {
             shared.hosts[leader].signal("KILL");
         }
-        let answers: Vec<u16> =
-            racers.into_iter().map(|racer| racer.join().expect("a racer ends")).collect();
-        cluster = Arc::into_inner(shared).expect("every racer has ended");
+        let answers: Vec<u16> = operators
+            .into_iter()
+            .map(|operator| operator.join().expect("an operator thread ends"))
+            .collect();
+        cluster = Arc::into_inner(shared).expect("all operator threads have ended");
         cluster.hosts[leader].kill();
         cluster.hosts[leader].start();
 
@@ -46,12 +48,12 @@
 }
 
 #[test]
-fn stopped_leader_answers_nothing_stale_when_it_goes_on() {
-    // The leader's process is stopped, as by a virtual machine that is moved, while another
-    // leader takes a change. When it goes on it must not show the old rules for one moment.
+fn resumed_leader_answers_nothing_stale() {
+    // The leader is paused, as during a live migration, while a new leader accepts a change. After
+    // it resumes it must never return the old rules.
     let cluster = ControlHosts::ready();
     let old = cluster.leader();
-    cluster.apply_for_certain(1, 0);
+    cluster.apply_until_certain(1, 0);
     let others: Vec<usize> = (0..3).filter(|host| *host != old).collect();
     cluster.hosts[old].signal("STOP");
     cluster.leader_among(&others);
@@ -71,47 +73,47 @@
     assert_eq!(changed.1["revision"], 2);
     assert!(!answers.is_empty());
     let stale = answers.iter().find(|(status, body)| *status == 200 && body["revision"] != 2);
-    assert_eq!(stale, None, "the old leader showed old rules");
+    assert_eq!(stale, None, "the old leader returned old rules");
 }
 
 #[test]
 fn host_catches_up_after_500_changes_and_after_a_wipe() {
-    // A control host is down for 500 changes, later its disk is replaced by an empty one. Each
-    // time it must come to the newest rules and count again as a voter.
+    // A control host is down for 500 changes, and later its data folder is lost. Each time it must
+    // catch up with the newest rules and be counted as a voter again.
     let mut cluster = ControlHosts::ready();
     let leader = cluster.leader();
-    let late = (leader + 1) % 3;
-    cluster.hosts[late].kill();
+    let lagging = (leader + 1) % 3;
+    cluster.hosts[lagging].kill();
     for number in 0..500_u64 {
-        let (status, _) = cluster.apply_for_certain(u128::from(number) + 1, number);
+        let (status, _) = cluster.apply_until_certain(u128::from(number) + 1, number);
         assert_eq!(status, 200);
     }
     let caught_up = |cluster: &ControlHosts| {
         wait_for("the newest rules", || {
-            let host = &cluster.hosts[late];
+            let host = &cluster.hosts[lagging];
             let newest = host.status("revision")? == 500;
             (newest && host.status("role")? == "follower").then_some(())
         });
     };
 
-    cluster.hosts[late].start();
+    cluster.hosts[lagging].start();
     caught_up(&cluster);
-    cluster.hosts[late].kill();
-    std::fs::remove_dir_all(&cluster.hosts[late].data_folder).expect("the folder goes");
-    cluster.hosts[late].start();
+    cluster.hosts[lagging].kill();
+    std::fs::remove_dir_all(&cluster.hosts[lagging].data_folder).expect("the folder is removed");
+    cluster.hosts[lagging].start();
     caught_up(&cluster);
 
-    // The wiped host makes a majority with one of the others.
+    // The wiped host and one of the others form a majority.
     let third = (leader + 2) % 3;
     cluster.hosts[third].kill();
-    let (status, _) = cluster.apply_for_certain(501, 500);
+    let (status, _) = cluster.apply_until_certain(501, 500);
     assert_eq!(status, 200);
 }
 
 #[test]
-fn single_survivor_takes_no_change() {
-    // Two of three control hosts are gone. The last one cannot know what they agreed on, and an
-    // operator must be told so instead of being told that a change is accepted.
+fn single_remaining_host_accepts_no_change() {
+    // Two of three control hosts are killed. The remaining one has no majority and must refuse a
+    // change instead of accepting it.
     let mut cluster = ControlHosts::ready();
     let leader = cluster.leader();
     for host in (0..3).filter(|host| *host != leader) {
@@ -126,19 +128,19 @@
 }
 
 #[test]
-fn host_whose_disk_refuses_a_write_ends_with_an_error() {
-    // One host's disk refuses the next write of the vote while the leader dies. That host must
-    // end instead of voting without remembering it, and the others must go on without it.
+fn host_that_cannot_store_its_vote_exits_with_an_error() {
+    // A host fails to write its vote to disk after the leader was killed. It must exit instead of
+    // voting without a durable record, and the other hosts must continue without it.
     let mut cluster = ControlHosts::ready();
     let leader = cluster.leader();
     let broken = (leader + 1) % 3;
-    // A folder in the place of the file to be written: opening it for writing fails.
+    // A folder in place of the file makes opening it for writing fail.
     std::fs::create_dir(cluster.hosts[broken].data_folder.join("vote.new")).expect("it is made");
     cluster.hosts[leader].kill();
 
     let ended = wait_for("the end of the process", || cluster.hosts[broken].exit_code());
     cluster.hosts[leader].start();
-    let (status, _) = cluster.apply_for_certain(1, 0);
+    let (status, _) = cluster.apply_until_certain(1, 0);
 
     assert_eq!(ended, 2);
     assert_eq!(status, 200);
