--- a/crates/daemon/tests/hosts/mod.rs
+++ b/crates/daemon/tests/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: three control hosts as real processes, and an operator.
+//! Fixtures: three control hosts as real processes, and operator calls to them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,14 +9,16 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// How long anything may take; generous, because a busy machine is no failure.
-pub const SOON: Duration = Duration::from_secs(60);
+/// Time limit for a condition; generous so that a busy machine does not fail a test.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
 
-const CHECK: Duration = Duration::from_millis(20);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-const SIZE: usize = 3;
+/// Number of control hosts.
+const HOST_COUNT: usize = 3;
 
-/// One control host.
+/// One control host process; it is killed when dropped.
 pub struct ControlHost {
     pub operator: SocketAddr,
     pub data_folder: PathBuf,
@@ -47,7 +49,7 @@
         self.child = Some(child);
     }
 
-    /// Ends the process as `kill -9` does.
+    /// Kills the process with `SIGKILL`.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -55,25 +57,25 @@
         }
     }
 
-    /// Exit code of a process that ended by itself.
+    /// Exit code of the process; `None` if it is still running or was ended by a signal.
     pub fn exit_code(&mut self) -> Option<i32> {
         let child = self.child.as_mut().expect("a process");
-        child.try_wait().expect("a process can be asked").and_then(|status| status.code())
+        child.try_wait().expect("the process status is available").and_then(|status| status.code())
     }
 
-    /// Sends the signal with this name.
+    /// Sends a signal by its name without the prefix `SIG`.
     pub fn signal(&self, name: &str) {
         let child = self.child.as_ref().expect("a running process");
         let sent = Command::new("kill").args([format!("-{name}"), child.id().to_string()]).status();
         assert!(sent.expect("a signal can be sent").success());
     }
 
-    /// Status and body of an answer; `None` when there was none.
+    /// Gets `path`; returns the status and body of the response, `None` if there is none.
     pub fn get(&self, path: &str) -> Option<(u16, Value)> {
         answer(attohttpc::get(format!("http://{}{path}", self.operator)), Vec::new())
     }
 
-    /// Sends a change of the rules.
+    /// Sends a rule change for revision `expect`, once.
     pub fn apply(&self, change: u128, expect: u64) -> Option<(u16, Value)> {
         let text = format!("services: []\nteams:\n  - name: team-{change}\nrules: []\n");
         let body = json!({ "change": format!("{change:032x}"), "expect": expect, "text": text });
@@ -94,19 +96,19 @@
 }
 
 impl ControlHosts {
-    /// Three fresh hosts, one of which leads.
+    /// Starts three new control hosts and waits for a leader.
     pub fn ready() -> Self {
         let folder = tempfile::tempdir().expect("a temporary folder");
-        let addresses = free_addresses(2 * SIZE).expect("free ports");
-        let peers: Vec<Value> = (0..SIZE)
+        let addresses = free_addresses(2 * HOST_COUNT).expect("free ports");
+        let peers: Vec<Value> = (0..HOST_COUNT)
             .map(|host| json!({ "node": format!("control-{host}"), "link": addresses[host] }))
             .collect();
         let mut hosts: Vec<ControlHost> = Vec::new();
-        for host in 0..SIZE {
+        for host in 0..HOST_COUNT {
             let (settings, data_folder) =
                 (folder.path().join(format!("{host}.yaml")), folder.path().join(host.to_string()));
-            let operator = addresses[SIZE + host];
-            // JSON is YAML as well.
+            let operator = addresses[HOST_COUNT + host];
+            // JSON is valid YAML.
             let text = json!({
                 "node": format!("control-{host}"),
                 "zone": "local-a",
@@ -124,38 +126,38 @@
         hosts
     }
 
-    /// The host that leads, once a majority confirms it.
+    /// Waits for a leader that a majority confirms, and returns its number.
     pub fn leader(&self) -> usize {
         self.leader_among(&[0, 1, 2])
     }
 
-    /// The host among `some` that leads, once a majority confirms it.
-    pub fn leader_among(&self, some: &[usize]) -> usize {
+    /// Waits for a leader among `candidates` that a majority confirms, and returns its number.
+    pub fn leader_among(&self, candidates: &[usize]) -> usize {
         wait_for("a leader", || {
-            some.iter().copied().find(|host| {
+            candidates.iter().copied().find(|host| {
                 self.hosts[*host].get("/v1/rules").is_some_and(|(status, _)| status == 200)
             })
         })
     }
 
-    /// Sends a change to one host after the other until its outcome is certain.
-    pub fn apply_for_certain(&self, change: u128, expect: u64) -> (u16, Value) {
+    /// Sends a change to the hosts in turn until its outcome is certain: accepted or refused.
+    pub fn apply_until_certain(&self, change: u128, expect: u64) -> (u16, Value) {
         let mut host = usize::try_from(change % 3).expect("small");
         wait_for("a certain outcome", || {
-            host = (host + 1) % SIZE;
+            host = (host + 1) % HOST_COUNT;
             self.hosts[host].apply(change, expect).filter(|(status, _)| [200, 409].contains(status))
         })
     }
 }
 
-/// Looks again and again until `look` finds something.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Polls until `attempt` returns a value; fails after `TIMEOUT`.
+pub fn wait_for<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = attempt() {
             return found;
         }
-        assert!(started.elapsed() < SOON, "not in time: {what}");
-        std::thread::sleep(CHECK);
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The daemon as a program: what it does with settings that cannot be used.
+//! End-to-end tests of the `briartrayd` program with unusable settings.
 
 use std::process::Command;
 
 #[test]
 fn missing_settings_end_the_program_with_their_name() {
-    // A path is mistyped in a unit file. The program must not run with made-up settings, and its
-    // message must name the file.
+    // The path of the settings file is wrong. The program must not run with default settings, and
+    // its error message must name the file.
     let output = Command::new(env!("CARGO_BIN_EXE_briartrayd"))
         .args(["--settings", "/no-such-folder/entry.yaml"])
         .output()
