--- a/crates/cli/src/cmd/check.rs
+++ b/crates/cli/src/cmd/check.rs
@@ -20,7 +20,7 @@
     files: Vec<String>,
     #[options(no_short, help = "data folder of a control host to check", meta = "FOLDER")]
     data_folder: Option<String>,
-    #[options(no_short, help = "text or json", meta = "FORMAT", default = "text")]
+    #[options(no_short, help = "output format: text or json", meta = "FORMAT", default = "text")]
     output: OutputFormat,
 }
 
--- a/crates/cli/src/cmd/groups.rs
+++ b/crates/cli/src/cmd/groups.rs
@@ -9,7 +9,7 @@
     pub(super) struct GroupsOptions {
         #[options(help = "print this help")]
         help: bool,
-        #[options(no_short, help = "show downtime and stranded accelerators instead")]
+        #[options(no_short, help = "show group downtime and stranded accelerators instead")]
         account: bool,
     }
 }
--- a/crates/cli/src/cmd/load.rs
+++ b/crates/cli/src/cmd/load.rs
@@ -79,7 +79,7 @@
         meta = "ADDRESS"
     )]
     stand_in: Vec<SocketAddr>,
-    #[options(no_short, help = "text or json", meta = "FORMAT", default = "text")]
+    #[options(no_short, help = "output format: text or json", meta = "FORMAT", default = "text")]
     output: OutputFormat,
 }
 
--- a/crates/cli/src/cmd/operator.rs
+++ b/crates/cli/src/cmd/operator.rs
@@ -37,14 +37,14 @@
             $($own)*
             #[options(
                 no_short,
-                help = "operators' addresses, separated by commas",
+                help = "addresses of the operators' ports, separated by commas",
                 meta = "ADDRESS",
                 default_expr = "crate::cmd::operator::DEFAULT_OPERATOR.to_owned()"
             )]
             operator: String,
-            #[options(no_short, help = "operators' token", meta = "TOKEN")]
+            #[options(no_short, help = "token for the operators' port", meta = "TOKEN")]
             token: Option<String>,
-            #[options(no_short, help = "text or json", meta = "FORMAT")]
+            #[options(no_short, help = "output format: text or json", meta = "FORMAT")]
             output: $crate::cmd::OutputFormat,
         }
 
--- a/crates/cli/src/cmd/replay.rs
+++ b/crates/cli/src/cmd/replay.rs
@@ -47,7 +47,7 @@
     downtime_weight: Option<f64>,
     #[options(no_short, help = "cost per second of one stranded accelerator", meta = "W")]
     stranded_weight: Option<f64>,
-    #[options(no_short, help = "text or json", meta = "FORMAT")]
+    #[options(no_short, help = "output format: text or json", meta = "FORMAT")]
     output: OutputFormat,
 }
 
--- a/crates/cli/src/cmd/rules/check.rs
+++ b/crates/cli/src/cmd/rules/check.rs
@@ -13,7 +13,7 @@
     help: bool,
     #[options(free, required, help = "rule document in YAML")]
     file: String,
-    #[options(no_short, help = "text or json", meta = "FORMAT")]
+    #[options(no_short, help = "output format: text or json", meta = "FORMAT")]
     output: OutputFormat,
 }
 
--- a/crates/cli/src/cmd/rules/explain.rs
+++ b/crates/cli/src/cmd/rules/explain.rs
@@ -37,7 +37,7 @@
     stream: Option<bool>,
     #[options(no_short, help = "whether the call has an Idempotency-Key", meta = "true|false")]
     keyed: Option<bool>,
-    #[options(no_short, help = "text or json", meta = "FORMAT")]
+    #[options(no_short, help = "output format: text or json", meta = "FORMAT")]
     output: OutputFormat,
 }
 
--- a/crates/cli/src/cmd/stand_in.rs
+++ b/crates/cli/src/cmd/stand_in.rs
@@ -1,4 +1,4 @@
-//! `briartray stand-in`: runs a stand-in engine, plain service or weight store for tests and trials.
+//! `briartray stand-in`: runs a stand-in engine, plain service or weight store for tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,5 +1,5 @@
-//! A complete fleet on loopback in one process: control host, entry, agents, and stand-in engines and
-//! services.
+//! A complete fleet on loopback in one process: control host, entry, agents, and stand-in engines
+//! and services.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
--- a/crates/cli/src/trial/fault.rs
+++ b/crates/cli/src/trial/fault.rs
@@ -105,7 +105,7 @@
         pub lost: u64,
         /// Keys that ran more than once, and answers with repeated chunks.
         pub doubled: u64,
-        /// Requests that got the answer to another request, or a truncated answer that looks complete.
+        /// Requests that got the answer to another one, or a truncated answer that looks complete.
         pub crossed: u64,
         /// Requests reported as `not_run` that ran, or answered ones that never ran.
         pub untrue: u64,
--- a/crates/cli/tests/group_accounting.rs
+++ b/crates/cli/tests/group_accounting.rs
@@ -26,8 +26,8 @@
 
 #[test]
 fn lost_member_shows_as_downtime_and_stranded_accelerators() {
-    // The agent of a member is stopped. Its replica is down and the accelerators of the other member
-    // are idle; both must be counted for as long as this lasts.
+    // The agent of a member is stopped. Its replica is down and the accelerators of the other
+    // member are idle; both must be counted for as long as this lasts.
     let fleet = ready_fleet(&DemoPlan { services: 0, ..DemoPlan::default() });
     let address = fleet.operator_address();
 
--- a/crates/cli/tests/group_failures.rs
+++ b/crates/cli/tests/group_failures.rs
@@ -1,5 +1,5 @@
-//! Failures of members in groups of two hosts, on real processes: a group serves requests only while
-//! all of its members and endpoints are up.
+//! Failures of members in groups of two hosts, on real processes: a group serves requests only
+//! while all of its members and endpoints are up.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -68,8 +68,11 @@
     let (_, groups) = get_json(fleet.operator_address(), "/v1/groups").expect("control answers");
     let list = groups.as_array().or(groups["groups"].as_array()).expect("a list of groups");
     let first_host = list[0]["first"].as_str().expect("a first host");
-    let first =
-        fleet.agents.iter().position(|agent| agent.host == first_host).expect("it is known");
+    let first = fleet
+        .agents
+        .iter()
+        .position(|agent| agent.host == first_host)
+        .expect("the host has an agent");
     (first, 1 - first)
 }
 
--- a/crates/cli/tests/keyed_refusals.rs
+++ b/crates/cli/tests/keyed_refusals.rs
@@ -1,4 +1,5 @@
-//! Outcomes reported for retries with an `Idempotency-Key` that are refused before the ledger lookup.
+//! Outcomes reported for retries with an `Idempotency-Key` that are refused before the ledger
+//! lookup.
 
 mod fleet;
 
--- a/crates/cli/tests/load_limits.rs
+++ b/crates/cli/tests/load_limits.rs
@@ -82,8 +82,8 @@
 
 #[test]
 fn callers_over_capacity_are_refused_at_once_with_retry_after() {
-    // Thirty concurrent requests exceed what the replicas can answer within the deadline. The excess
-    // must be refused with `not_run` and a retry delay instead of waiting until the deadline.
+    // Thirty concurrent requests exceed what the replicas can answer within the deadline. The
+    // others must be refused with `not_run` and a retry delay instead of waiting in vain.
     let fleet = ready_fleet(&plan(1, "{ deadline_ms: 1500 }"));
     let address = fleet.caller_address();
     for number in 0..3 {
--- a/crates/cli/tests/outcomes.rs
+++ b/crates/cli/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes reported to callers when processes and network paths fail under load, on real processes.
+//! Outcomes reported to callers when real processes and network paths fail under load.
 
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
--- a/crates/cli/tests/stops.rs
+++ b/crates/cli/tests/stops.rs
@@ -35,7 +35,7 @@
     // An entry learns of a group up to one lease renewal later than the control host.
     let (callers, operators) = (fleet.caller_address(), fleet.operator_address());
     wait_for("two whole groups", || whole_groups(operators) == 2);
-    wait_for("an entry that knows them", || get(callers, "/readyz")["whole_groups"] == 2);
+    wait_for("an entry that sees both groups", || get(callers, "/readyz")["whole_groups"] == 2);
     fleet
 }
 
@@ -89,7 +89,7 @@
             })
         })
         .collect();
-    wait_for("work on the first engine", || runs(&fleet, 0) > 0);
+    wait_for("a request on the first engine", || runs(&fleet, 0) > 0);
 
     let (status, _) = plan(operators, &json!({ "host": "host-0" }));
     let early = stop(operators);
@@ -119,7 +119,7 @@
 
     post(operators, "/v1/stops/cancel", &json!({ "stop": 1 }));
 
-    wait_for("work on the host", || {
+    wait_for("a request on the host", || {
         post(callers, "/v1/completions", &completion("again", 2, false));
         runs(&fleet, 0) > before
     });
