--- a/crates/cli/src/cmd/measure/agreement.rs
+++ b/crates/cli/src/cmd/measure/agreement.rs
@@ -11,7 +11,7 @@
 use briartray_model::message::{ClaimKey, LedgerReply, LedgerRequest};
 use briartray_model::names::{NodeName, TeamName};
 use briartray_model::settings::{ClusterSettings, ControlPeer, ControlSettings, DaemonSettings};
-use briartray_node::{RunningDaemon, new_attempt};
+use briartray_node::{RunningDaemon, new_attempt_id};
 use gumdrop::Options;
 use serde_json::{Value, json};
 
@@ -244,7 +244,7 @@
     let (writer, reader) = client.open(address, CallKind::Ledger);
     let mut times = Vec::new();
     while more(times.len()) {
-        let attempt = new_attempt();
+        let attempt = new_attempt_id();
         let key = ClaimKey { team: TeamName::new("measure"), key: attempt.to_string() };
         let started = Instant::now();
         writer
--- a/crates/cli/src/cmd/measure/capacity/lines.rs
+++ b/crates/cli/src/cmd/measure/capacity/lines.rs
@@ -138,7 +138,7 @@
     let operator = control.operator.to_string();
     let port = OperatorPort { address: &operator, token: None };
     let text = format!("# change {number}\n{}", settings::RULES);
-    let change = briartray_node::new_change().to_string();
+    let change = briartray_node::new_change_id().to_string();
     let started = Instant::now();
     let reply = port.post("/v1/rules", &json!({ "change": change, "text": text }))?;
     let revision = reply["revision"].as_u64().unwrap_or(u64::MAX);
--- a/crates/cli/src/cmd/rules/apply.rs
+++ b/crates/cli/src/cmd/rules/apply.rs
@@ -1,6 +1,6 @@
 //! `briartray rules apply`: replaces the rules in force.
 
-use briartray_node::new_change;
+use briartray_node::new_change_id;
 use serde_json::json;
 
 use super::read_document;
@@ -21,7 +21,7 @@
 
 pub(super) fn run(options: &ApplyOptions) -> Result<(), CommandError> {
     let text = read_document(&options.file)?;
-    let change = options.change.clone().unwrap_or_else(|| new_change().to_string());
+    let change = options.change.clone().unwrap_or_else(|| new_change_id().to_string());
     let client = options.client();
     let body = json!({ "change": change, "expect": options.expect, "text": text });
     let reply = client.post("/v1/rules", &body).map_err(|error| {
--- a/crates/cli/src/cmd/stop.rs
+++ b/crates/cli/src/cmd/stop.rs
@@ -1,6 +1,6 @@
 //! `briartray stop`: plans, lists and cancels planned stops.
 
-use briartray_node::new_change;
+use briartray_node::new_change_id;
 use gumdrop::Options;
 use serde_json::{Value, json};
 
@@ -68,7 +68,7 @@
 
 fn plan(options: &PlanOptions) -> Result<(), CommandError> {
     let target = stop_target(options)?;
-    let change = options.change.clone().unwrap_or_else(|| new_change().to_string());
+    let change = options.change.clone().unwrap_or_else(|| new_change_id().to_string());
     let client = options.client();
     let body = json!({ "change": change, "target": target });
     let reply = client.post("/v1/stops", &body).map_err(|error| {
--- a/crates/gateway/src/control/calls.rs
+++ b/crates/gateway/src/control/calls.rs
@@ -8,7 +8,7 @@
 use briartray_fleet::director::{OrderCall, OrderOutcome, ProbeCall};
 use briartray_model::names::NodeName;
 use briartray_node::ClockReader;
-use briartray_platform::{AnswerHead, order_outcome, order_request, read_report, report_request};
+use briartray_platform::{ResponseHead, order_outcome, order_request, read_report, report_request};
 use bytes::Bytes;
 use http::{Request, StatusCode};
 
@@ -118,14 +118,14 @@
         &self,
         address: &str,
         request: Request<Bytes>,
-    ) -> Result<(StatusCode, AnswerHead, Bytes), SendFailure> {
+    ) -> Result<(StatusCode, ResponseHead, Bytes), SendFailure> {
         let address: SocketAddr = address.parse().map_err(|_| SendFailure::NotConnected)?;
         let idle = self.pool.borrow_mut().take(self.clock.now(), address);
         let connection = briartray_http::connect(idle, address).await?;
         let exchange = connection.send(request).await?;
         let (head, body, connection) = exchange.whole().await?;
-        let told = AnswerHead::read(head.status, &head.headers);
-        if !told.closes {
+        let told = ResponseHead::read(head.status, &head.headers);
+        if !told.closes_connection {
             let now = self.clock.now();
             self.pool.borrow_mut().put(now, address, connection, told.idle_limit, IDLE_CONNECTIONS);
         }
--- a/crates/gateway/src/control/core.rs
+++ b/crates/gateway/src/control/core.rs
@@ -310,7 +310,7 @@
             CoreInput::Evacuated { reply } => self.confirm(ReadOrigin::Evacuated(reply)),
             CoreInput::Zone { zone, wish, reply } => self.change_zone(now, zone, wish, reply),
             CoreInput::Lift { print, reply } => self.lift_quarantine(print, reply),
-            CoreInput::Beat { heartbeat, reply } => self.heartbeat(now, heartbeat, reply),
+            CoreInput::Heartbeat { heartbeat, reply } => self.heartbeat(now, heartbeat, reply),
             CoreInput::Leave { id, reply } => self.leave(id, reply),
             CoreInput::Probed { answer, asker: None } => self.probed(now, answer),
             CoreInput::Probed { answer, asker: Some(asker) } => {
--- a/crates/gateway/src/control/evacuation_call.rs
+++ b/crates/gateway/src/control/evacuation_call.rs
@@ -1,6 +1,6 @@
 //! How operators see and change the evacuation of zones on the product's own paths.
 
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 use briartray_model::names::ZoneName;
 use http::request::Parts;
 use http::{Method, Response};
@@ -64,7 +64,7 @@
 }
 
 /// The answer that lists `zones`.
-pub(super) fn evacuation_answer(zones: &[ZoneName]) -> Response<AnswerBody> {
+pub(super) fn evacuation_answer(zones: &[ZoneName]) -> Response<ResponseBody> {
     let zones: Vec<_> = zones.iter().map(|zone| json!({ "zone": zone.as_str() })).collect();
     json_answer(json!(zones).to_string())
 }
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -9,7 +9,7 @@
 use briartray_fleet::message::{EntryReport, HostHello};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::LinkWriter;
-use briartray_model::names::{IncarnationId, NodeName, RequestPrint, ZoneName};
+use briartray_model::names::{IncarnationId, NodeName, RequestFingerprint, ZoneName};
 use briartray_quarantine::QuarantineRecord;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use serde::{Deserialize, Serialize};
@@ -110,13 +110,13 @@
     /// An operator asks for the requests in quarantine.
     Quarantine { reply: ReplySender },
     /// An operator lets a request out of quarantine.
-    Lift { print: RequestPrint, reply: ReplySender },
+    Lift { print: RequestFingerprint, reply: ReplySender },
     /// An operator asks for the evacuated zones.
     Evacuated { reply: ReplySender },
     /// An operator evacuates or readmits a zone.
     Zone { zone: ZoneName, wish: ZoneWish, reply: ReplySender },
     /// An endpoint announces itself.
-    Beat { heartbeat: EndpointHeartbeat, reply: ReplySender },
+    Heartbeat { heartbeat: EndpointHeartbeat, reply: ReplySender },
     /// An endpoint takes no new work.
     Leave { id: IncarnationId, reply: ReplySender },
     /// A probe has ended; `asker` is the leader that wanted it, where that is another host.
@@ -131,7 +131,7 @@
     /// Whether it is one of the many that endpoints cause.
     fn is_of_endpoint(&self) -> bool {
         match self {
-            Self::Beat { .. } | Self::Probed { .. } | Self::Ordered { .. } => true,
+            Self::Heartbeat { .. } | Self::Probed { .. } | Self::Ordered { .. } => true,
             Self::Core(message) => matches!(message, CoreMessage::Beats(_) | CoreMessage::Told(_)),
             _ => false,
         }
--- a/crates/gateway/src/control/leader.rs
+++ b/crates/gateway/src/control/leader.rs
@@ -43,7 +43,7 @@
         metrics.endpoints.set(number(self.state.endpoints().len() as u64));
         metrics.evacuated.set(number(self.state.evacuated().len() as u64));
         if let Some(agreement) = &self.agreement {
-            metrics.agreement.note(agreement);
+            metrics.agreement.update(agreement);
             metrics.voters.set(number(agreement.seats().len() as u64));
         }
     }
--- a/crates/gateway/src/control/origin.rs
+++ b/crates/gateway/src/control/origin.rs
@@ -2,7 +2,7 @@
 
 use briartray_fleet::message::EntryReport;
 use briartray_link::LinkWriter;
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 
 use super::input::ReplySender;
 
@@ -22,7 +22,7 @@
     /// The director.
     Director,
     /// The leader, about a request in quarantine.
-    Quarantine(RequestPrint),
+    Quarantine(RequestFingerprint),
 }
 
 /// Who waits for a confirmation that this host leads.
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -4,7 +4,7 @@
 use briartray_fleet::state::{FleetCommand, FleetState};
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 
 use super::core::ControlCore;
 use super::input::ReplySender;
@@ -27,7 +27,7 @@
     }
 
     /// Lets an operator serve a request again.
-    pub(super) fn lift_quarantine(&mut self, print: RequestPrint, reply: ReplySender) {
+    pub(super) fn lift_quarantine(&mut self, print: RequestFingerprint, reply: ReplySender) {
         if !self.is_established() {
             return self.redirect(reply);
         }
--- a/crates/gateway/src/entry/crash_check.rs
+++ b/crates/gateway/src/entry/crash_check.rs
@@ -10,7 +10,7 @@
 
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::{IncarnationId, RequestPrint, TeamName};
+use briartray_model::names::{IncarnationId, RequestFingerprint, TeamName};
 
 use super::dispatch::{SentTo, ServedRequest};
 use super::state::EntryState;
@@ -21,7 +21,7 @@
 /// A request whose connection broke.
 #[derive(Debug, Clone)]
 pub(super) struct BrokenRun {
-    print: RequestPrint,
+    print: RequestFingerprint,
     rule: String,
     team: Option<TeamName>,
     /// When it was sent to the endpoint.
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -11,8 +11,8 @@
 };
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::{IncarnationId, RequestPrint, ServiceName, TeamName};
-use briartray_platform::{AnswerHead, CallerHead, DispatchTerms, dispatch_request};
+use briartray_model::names::{IncarnationId, RequestFingerprint, ServiceName, TeamName};
+use briartray_platform::{CallerHead, DispatchHeaders, ResponseHead, dispatch_request};
 use briartray_quarantine::{PrintParts, PrintStanding};
 use bytes::Bytes;
 use http::request::Parts;
@@ -48,7 +48,7 @@
     /// Endpoint that it was sent to last.
     pub(super) sent_to: Option<SentTo>,
     /// What identifies it, once that was wanted.
-    pub(super) print: OnceCell<RequestPrint>,
+    pub(super) print: OnceCell<RequestFingerprint>,
     /// Replicas that may have run it. One that said that it had not does not count towards the
     /// attempts that the rule allows.
     pub(super) runs: u32,
@@ -109,7 +109,7 @@
 /// An answer of a replica whose head has been judged.
 pub(super) struct LiveAnswer {
     pub(super) exchange: Exchange,
-    pub(super) told: AnswerHead,
+    pub(super) told: ResponseHead,
     pub(super) address: SocketAddr,
     pub(super) guard: TargetGuard,
 }
@@ -130,7 +130,7 @@
     head: &CallerHead,
     team: Option<&TeamName>,
     body: &[u8],
-) -> RequestPrint {
+) -> RequestFingerprint {
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let team = team.map(TeamName::as_str);
     state.print(&PrintParts { host: &head.host, path, team, body })
@@ -143,7 +143,7 @@
     }
 
     /// What identifies it, whatever its id.
-    pub(super) fn print(&self) -> RequestPrint {
+    pub(super) fn print(&self) -> RequestFingerprint {
         *self.print.get_or_init(|| {
             request_print(&self.state, &self.parts, &self.head, self.team.as_ref(), &self.body)
         })
@@ -226,7 +226,7 @@
         let guard = TargetGuard::new(&self.state, &choice);
         let request = dispatch_request(
             &self.parts,
-            &DispatchTerms {
+            &DispatchHeaders {
                 endpoint: &choice.endpoint,
                 left: self.left().saturating_sub(ANSWER_MARGIN),
                 team: self.team.as_ref(),
@@ -290,8 +290,8 @@
         guard: TargetGuard,
     ) -> Result<LiveAnswer, AttemptFailure> {
         let status = exchange.head.status;
-        let told = AnswerHead::read(status, &exchange.head.headers);
-        if !told.answers(self.head.request_id.as_ref()) {
+        let told = ResponseHead::read(status, &exchange.head.headers);
+        if !told.matches_request(self.head.request_id.as_ref()) {
             log::warn!("an answer at {address} belongs to another request and is dropped");
             return Err(self.ended(AttemptEnd::MayHaveRun));
         }
@@ -339,7 +339,7 @@
 impl LiveAnswer {
     /// Keeps the connection for later, when the answer was whole and allows it.
     pub(super) fn release(self, request: &ServedRequest) {
-        if !self.told.closes {
+        if !self.told.closes_connection {
             let connection = self.exchange.into_connection();
             let (now, limit) = (request.state.now(), self.told.idle_limit);
             let mut pool = request.state.pool.borrow_mut();
--- a/crates/gateway/src/entry/mod.rs
+++ b/crates/gateway/src/entry/mod.rs
@@ -30,7 +30,7 @@
 use crate::metrics_port;
 use crate::process::{ProcessError, SetupSnafu};
 use crate::settings::{EntryRole, GatewaySettings};
-use briartray_http::{AnswerBody, HttpServer, ServerLimits};
+use briartray_http::{HttpServer, ResponseBody, ServerLimits};
 
 /// Stack of the traffic thread, in bytes.
 const TRAFFIC_STACK_BYTES: usize = 2 * 1024 * 1024;
@@ -134,14 +134,14 @@
     let _ = end.send(whole);
 }
 
-fn tell_readiness(state: &EntryState, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn tell_readiness(state: &EntryState, request: &Request<Incoming>) -> Response<ResponseBody> {
     let known = request.uri().path() == briartray_platform::READINESS_PATH;
     let status = match (known, state.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         (false, _) => StatusCode::NOT_FOUND,
     };
-    let mut answer = Response::new(AnswerBody::whole(Vec::new()));
+    let mut answer = Response::new(ResponseBody::whole(Vec::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/gateway/src/entry/plain.rs
+++ b/crates/gateway/src/entry/plain.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briartray_fleet::entry::{AttemptEnd, ChoiceRefusal, NextStep};
-use briartray_platform::answer_headers;
+use briartray_platform::response_headers;
 use bytes::Bytes;
 use http::Response;
 use http::response::Parts;
@@ -11,7 +11,7 @@
 use super::crash_check;
 use super::dispatch::{AttemptFailure, ServedRequest};
 use super::refusal::{RefusalKind, refuse};
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 
 /// Times the expected latency that an attempt which may be repeated is waited for. A replica that
 /// hangs gives no sign; the slowest tenth of sound answers takes twice the expected time.
@@ -24,7 +24,7 @@
 }
 
 /// Serves `request`, sending it again where that is allowed.
-pub(super) async fn serve(mut request: ServedRequest) -> Response<AnswerBody> {
+pub(super) async fn serve(mut request: ServedRequest) -> Response<ResponseBody> {
     let mut failed_answer = None;
     loop {
         let end = match attempt(&mut request).await {
@@ -80,7 +80,7 @@
             if !head.status.is_server_error() {
                 request.ran_whole();
             }
-            if !told.closes {
+            if !told.closes_connection {
                 let state = &request.state;
                 let now = state.now();
                 let most = request.idle_connections;
@@ -105,9 +105,9 @@
     }
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+fn pass_on(answer: WholeAnswer) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(answer.body));
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = answer_headers(&answer.head.headers);
+    *response.headers_mut() = response_headers(&answer.head.headers);
     response
 }
--- a/crates/gateway/src/entry/refusal.rs
+++ b/crates/gateway/src/entry/refusal.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use serde_json::json;
 
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 
 /// Longest time that callers are asked to wait for a replica with a limit.
 const LONGEST_LIMIT_WAIT: Duration = Duration::from_secs(5);
@@ -135,13 +135,13 @@
 }
 
 /// The answer for `kind`.
-pub(super) fn refuse(kind: RefusalKind) -> Response<AnswerBody> {
+pub(super) fn refuse(kind: RefusalKind) -> Response<ResponseBody> {
     let outcome = match kind {
         RefusalKind::LateUnknown | RefusalKind::Unknown => "unknown",
         _ => "not_run",
     };
     let body = json!({ "code": kind.code(), "message": kind.remedy(), "outcome": outcome });
-    let mut answer = Response::new(AnswerBody::whole(body.to_string()));
+    let mut answer = Response::new(ResponseBody::whole(body.to_string()));
     *answer.status_mut() = kind.status();
     // Told to whoever counts and writes about the request.
     answer.extensions_mut().insert(kind);
--- a/crates/gateway/src/entry/relay.rs
+++ b/crates/gateway/src/entry/relay.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 
 use briartray_fleet::entry::{AttemptEnd, EventSplitter, NextStep, StreamEvent};
-use briartray_platform::answer_headers;
+use briartray_platform::response_headers;
 use bytes::Bytes;
 use http::Response;
 use http::response::Parts;
@@ -18,7 +18,7 @@
 use super::plain::no_target;
 use super::refusal::{RefusalKind, refuse};
 use super::stream_clock::StreamClock;
-use briartray_http::{AnswerBody, BodySender, StreamCut};
+use briartray_http::{BodySender, ResponseBody, TruncatedStream};
 
 /// A stream in progress.
 struct LiveStream {
@@ -45,12 +45,12 @@
 }
 
 /// Serves `request` as a stream.
-pub(super) async fn serve(mut request: ServedRequest) -> Response<AnswerBody> {
+pub(super) async fn serve(mut request: ServedRequest) -> Response<ResponseBody> {
     let last = request.head.last_event;
     match open(&mut request, last).await {
         Ok((stream, first)) => {
             let head = answer_head(&stream.answer.exchange.head);
-            let (sender, body) = AnswerBody::parts();
+            let (sender, body) = ResponseBody::parts();
             let last = first.as_ref().and_then(|event| event.id).or(last);
             let position = Position { last, clock: StreamClock::new(request.arrived) };
             tokio::task::spawn_local(pump(request, stream, first, position, sender));
@@ -71,20 +71,20 @@
 }
 
 fn answer_head(head: &Parts) -> (http::StatusCode, http::HeaderMap) {
-    (head.status, answer_headers(&head.headers))
+    (head.status, response_headers(&head.headers))
 }
 
 /// A failure of the replica's own, passed on as it is.
-async fn pass_other(request: &ServedRequest, answer: LiveAnswer) -> Response<AnswerBody> {
+async fn pass_other(request: &ServedRequest, answer: LiveAnswer) -> Response<ResponseBody> {
     let LiveAnswer { exchange, guard, .. } = answer;
     let limit = request.left();
     let whole = tokio::time::timeout(limit, exchange.whole()).await;
     drop(guard);
     match whole {
         Ok(Ok((head, body, _))) => {
-            let mut response = Response::new(AnswerBody::whole(body));
+            let mut response = Response::new(ResponseBody::whole(body));
             *response.status_mut() = head.status;
-            *response.headers_mut() = answer_headers(&head.headers);
+            *response.headers_mut() = response_headers(&head.headers);
             response
         }
         _ => refuse(RefusalKind::Unknown),
@@ -248,7 +248,7 @@
             let after = position.last.unwrap_or(0);
             log::warn!(request = request.id(), after; "a stream is cut off");
         }
-        let _ = sender.send(Err(StreamCut)).await;
+        let _ = sender.send(Err(TruncatedStream)).await;
     }
 }
 
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -12,8 +12,8 @@
 use briartray_fleet::limit::LimitHeader;
 use briartray_fleet::message::{EntryNotice, EntryReport, ModelDemand, WorkSum};
 use briartray_fleet::state::StoredPlan;
-use briartray_model::message::PrintView;
-use briartray_model::names::{IncarnationId, NodeName, RequestPrint, ServiceName};
+use briartray_model::message::FingerprintView;
+use briartray_model::names::{IncarnationId, NodeName, RequestFingerprint, ServiceName};
 use briartray_model::{SortedTable, TimePoint};
 use briartray_node::ClockReader;
 use briartray_platform::CallerHead;
@@ -269,7 +269,7 @@
         let Some(engine) = engine else { return };
         let Some(spec) = engine.model(model) else { return };
         // The most that a caller allows says little: it is three times the usual answer.
-        let answer = head.answer_guess.unwrap_or(engine.usual_answer);
+        let answer = head.output_estimate.unwrap_or(engine.usual_answer);
         let reading = engine.prefill_ms(tokens.prompt) * spec.pace;
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
         let sum = WorkSum {
@@ -328,7 +328,7 @@
         self.news.notify_waiters();
     }
 
-    fn adopt_prints(&self, view: PrintView) {
+    fn adopt_prints(&self, view: FingerprintView) {
         let (quarantined, suspects) = (view.quarantined.len(), view.suspects.len());
         if quarantined + suspects > 0 || self.prints.borrow().is_watching() {
             log::info!(quarantined, suspects; "the quarantine has changed");
@@ -356,12 +356,12 @@
     }
 
     /// What `parts` identify.
-    pub(super) fn print(&self, parts: &PrintParts<'_>) -> RequestPrint {
+    pub(super) fn print(&self, parts: &PrintParts<'_>) -> RequestFingerprint {
         self.print_key.print(parts)
     }
 
     /// How the request that `print` makes the print of stands.
-    pub(super) fn standing(&self, print: impl FnOnce() -> RequestPrint) -> PrintStanding {
+    pub(super) fn standing(&self, print: impl FnOnce() -> RequestFingerprint) -> PrintStanding {
         let prints = self.prints.borrow();
         // Prints cost a pass over the body, and are wanted only in times of crashes.
         if prints.is_watching() { prints.standing(print()) } else { PrintStanding::Clear }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -69,7 +69,7 @@
 /// A `ProcessError` that names the remedy, when a role cannot start.
 pub fn run(path: &Path) -> Result<(), ProcessError> {
     let settings = settings::load(path)?;
-    logs::start_on_output(&settings.log_level);
+    logs::start_on_stdout(&settings.log_level);
     let signals =
         Signals::new([SIGINT, SIGTERM, SIGHUP]).context(SetupSnafu { what: "signals" })?;
     log::info!(node = settings.node_name().as_str(), zone = settings.zone.as_str(); "starting");
--- a/crates/node/src/control/disk.rs
+++ b/crates/node/src/control/disk.rs
@@ -25,7 +25,7 @@
     let run = move || {
         write_batches(folder, &queue, |written| match written {
             Ok(stored) => {
-                metrics.synced(stored.took);
+                metrics.record_sync(stored.took);
                 inputs.send(ControlInput::Stored { ticket: stored.ticket }).is_ok()
             }
             Err(error) => {
--- a/crates/node/src/control/replication.rs
+++ b/crates/node/src/control/replication.rs
@@ -14,7 +14,7 @@
 use super::planning::PlanDriver;
 use super::stops::StopDriver;
 use super::version::SnapshotVersion;
-use crate::new_change;
+use crate::new_change_id;
 
 impl ControlCore {
     /// Handles everything that the agreement has output so far. Returns `true` when a log entry
@@ -56,7 +56,7 @@
             }
         }
         self.take_snapshot();
-        self.parts.metrics.note(&self.parts.agreement);
+        self.parts.metrics.update(&self.parts.agreement);
         applied
     }
 
@@ -151,7 +151,7 @@
         if let Some(text) = self.parts.first_rules.clone().filter(|_| unset) {
             // Expects revision 0, so the rules are accepted only if no others were accepted first.
             let expect = Some(RevisionNumber::default());
-            let command = ControlCommand::ApplyRules { change: new_change(), expect, text };
+            let command = ControlCommand::ApplyRules { change: new_change_id(), expect, text };
             self.submit(&command, ProposalOrigin::FirstRules);
         }
     }
@@ -161,7 +161,7 @@
             Ok(state) => self.state = state,
             Err(error) => return self.parts.shared.fail(&format!("unreadable snapshot: {error}")),
         }
-        self.parts.metrics.restored();
+        self.parts.metrics.record_restore();
         self.load_rules();
     }
 
--- a/crates/node/src/entry/api.rs
+++ b/crates/node/src/entry/api.rs
@@ -20,7 +20,7 @@
 use super::refusal::{CallRefusal, RefusalCode};
 use super::shared::{EntryShared, EntryView};
 use crate::metrics::METRICS_TYPE;
-use crate::new_request;
+use crate::new_request_id;
 use crate::trace::{SpanHop, TraceScope};
 
 /// Team of callers that name none.
@@ -65,7 +65,7 @@
     if READ_PATHS.contains(&path.as_str()) && !reads {
         let refusal = CallRefusal::not_run(RefusalCode::WrongMethod, "use GET for this path");
         shared.metrics.ended(refusal.code.as_str());
-        reply_json(request, &refusal.reply(new_request()));
+        reply_json(request, &refusal.reply(new_request_id()));
         return;
     }
     match path.as_str() {
@@ -102,12 +102,12 @@
 }
 
 fn handle_call(mut request: Request, path: &str, shared: &Arc<EntryShared>) {
-    let id = new_request();
+    let id = new_request_id();
     let view = shared.view();
     let mut span = shared.traces.span(SpanHop::Entry, trace_of(&request));
     let _scope = TraceScope::enter(span.context().trace_id);
-    span.set("request", id);
-    span.set("path", path);
+    span.set_attribute("request", id);
+    span.set_attribute("path", path);
     match plan_call(&mut request, path, id, shared, &view, span.context()) {
         Ok(plan) => once::run(
             shared,
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -15,7 +15,7 @@
 use super::output::CallerOutput;
 use super::refusal::{CallRefusal, RefusalCode};
 use super::shared::{EntryShared, EntryView};
-use crate::new_attempt;
+use crate::new_attempt_id;
 use crate::trace::SpanHop;
 
 /// How long an agent may take to take note that a caller has gone.
@@ -68,10 +68,10 @@
     deadline: TimePoint,
     output: CallerOutput,
 ) -> (AttemptEnd, Option<CallerOutput>) {
-    let attempt = new_attempt();
+    let attempt = new_attempt_id();
     let mut span = shared.traces.span(SpanHop::Link, plan.trace);
-    span.set("attempt", attempt);
-    span.set("group", record.group);
+    span.set_attribute("attempt", attempt);
+    span.set_attribute("group", record.group);
     let order = order_for(shared, view, plan, record, attempt, deadline, span.context());
     let tracker = AttemptTracker::new(
         shared.clock.now(),
@@ -94,7 +94,7 @@
     if let AttemptEnd::Failed { refusal, .. } = &end {
         span.fail(&refusal.message);
     } else if let AttemptEnd::Refused(reason, _) = &end {
-        span.set("refused", format!("{reason:?}"));
+        span.set_attribute("refused", format!("{reason:?}"));
     }
     (end, back)
 }
--- a/crates/node/src/entry/crashes.rs
+++ b/crates/node/src/entry/crashes.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use briartray_model::TimePoint;
-use briartray_model::message::{PrintView, RunEnd, RunEvent, ViewVersion};
-use briartray_model::names::{IncarnationId, RequestPrint, RuleName, TeamName};
+use briartray_model::message::{FingerprintView, RunEnd, RunEvent, ViewVersion};
+use briartray_model::names::{IncarnationId, RequestFingerprint, RuleName, TeamName};
 use briartray_quarantine::{EvidenceLog, PrintGuard, PrintKey, PrintParts, PrintStanding};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
@@ -87,7 +87,7 @@
     }
 
     /// A confirmed leader has answered the renewal with `nonce`.
-    pub(super) fn answered(&self, nonce: u64, view: Option<PrintView>) {
+    pub(super) fn answered(&self, nonce: u64, view: Option<FingerprintView>) {
         let mut state = self.state();
         state.runs.confirmed(nonce);
         let Some(view) = view else { return };
@@ -98,17 +98,17 @@
         }
     }
 
-    fn note(&self, now: TimePoint, print: RequestPrint, end: RunEnd) {
+    fn note(&self, now: TimePoint, print: RequestFingerprint, end: RunEnd) {
         self.state().runs.note(now, print, end);
         // One word that waits is enough.
         let _ = self.news.0.try_send(());
     }
 
-    fn print_of(&self, plan: &CallPlan) -> RequestPrint {
+    fn print_of(&self, plan: &CallPlan) -> RequestFingerprint {
         self.print(&plan.target.path, &plan.team, &plan.body)
     }
 
-    fn print(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestPrint {
+    fn print(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestFingerprint {
         // Callers reach every entry by any host name, and are told apart by their teams.
         self.key.print(&PrintParts { host: "", path, team: Some(team.as_str()), body })
     }
--- a/crates/node/src/entry/once.rs
+++ b/crates/node/src/entry/once.rs
@@ -22,7 +22,7 @@
 use super::output::{CallerOutput, OnceEnd};
 use super::refusal::{CallRefusal, RefusalCode};
 use super::shared::EntryShared;
-use crate::new_attempt;
+use crate::new_attempt_id;
 
 /// How long a claim may take before the request is refused.
 const CLAIM_LIMIT: Duration = Duration::from_secs(3);
@@ -73,7 +73,7 @@
     let claim = CallClaim {
         claims: shared.claims.clone(),
         key: ClaimKey { team: plan.team.clone(), key: key.clone() },
-        attempt: new_attempt(),
+        attempt: new_attempt_id(),
     };
     let digest = call_digest(&plan.target, &plan.body);
     let taken = claim.take(digest);
--- a/crates/node/src/ids.rs
+++ b/crates/node/src/ids.rs
@@ -3,17 +3,17 @@
 use briartray_model::names::{AttemptId, ChangeId, RequestId};
 
 /// An attempt id that no other attempt has.
-pub fn new_attempt() -> AttemptId {
+pub fn new_attempt_id() -> AttemptId {
     AttemptId(rand::random())
 }
 
 /// A request id that no other request has.
-pub fn new_request() -> RequestId {
+pub fn new_request_id() -> RequestId {
     RequestId(rand::random())
 }
 
 /// A change id that no other change has.
-pub fn new_change() -> ChangeId {
+pub fn new_change_id() -> ChangeId {
     ChangeId(rand::random())
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use clock::ClockReader;
 pub use daemon::{DaemonError, RunningDaemon};
-pub use ids::{new_attempt, new_change, new_incarnation, new_request, new_span};
+pub use ids::{new_attempt_id, new_change_id, new_incarnation, new_request_id, new_span};
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -18,7 +18,7 @@
 }
 
 /// As [`start`], on standard output, where platforms collect the logs of their processes.
-pub fn start_on_output(level: &str) {
+pub fn start_on_stdout(level: &str) {
     start_to(level, Target::Stdout);
 }
 
--- a/crates/node/src/metrics/agreement.rs
+++ b/crates/node/src/metrics/agreement.rs
@@ -57,7 +57,7 @@
     }
 
     /// Takes over where `core` stands.
-    pub fn note(&self, core: &AgreementCore) {
+    pub fn update(&self, core: &AgreementCore) {
         let role = core.role();
         self.term.set(core.term().0);
         self.leads.set(u64::from(role == MemberRole::Leader));
@@ -68,12 +68,12 @@
     }
 
     /// Counts one write and sync.
-    pub fn synced(&self, time: Duration) {
+    pub fn record_sync(&self, time: Duration) {
         self.sync.observe(time.as_secs_f64());
     }
 
     /// Counts a snapshot that replaced the state.
-    pub fn restored(&self) {
+    pub fn record_restore(&self) {
         self.restores.inc();
     }
 }
--- a/crates/node/src/trace/span.rs
+++ b/crates/node/src/trace/span.rs
@@ -72,7 +72,7 @@
     }
 
     /// Adds an attribute.
-    pub fn set(&mut self, key: &'static str, value: impl ToString) {
+    pub fn set_attribute(&mut self, key: &'static str, value: impl ToString) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(key, value.to_string()));
         }
