--- a/crates/cli/src/cmd/rules/check.rs
+++ b/crates/cli/src/cmd/rules/check.rs
@@ -1,4 +1,4 @@
-//! `briartray rules check`: look for mistakes in a document, nothing is sent.
+//! `briartray rules check`: checks a rule document locally, without sending it.
 
 use briartray_model::rules::{FindingLevel, RuleFinding, check_rules};
 use gumdrop::Options;
@@ -13,7 +13,7 @@
     help: bool,
     #[options(free, required, help = "rule document in YAML")]
     file: String,
-    #[options(no_short, help = "text or json", meta = "FORMAT")]
+    #[options(no_short, help = "output format: text or json", meta = "FORMAT")]
     output: OutputFormat,
 }
 
