--- a/crates/cli/src/cmd/measure/agreement.rs
+++ b/crates/cli/src/cmd/measure/agreement.rs
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 
 use super::idle;
-use crate::cmd::operator::OperatorPort;
+use crate::cmd::operator::OperatorClient;
 use crate::cmd::{CommandError, OutputFormat};
 
 /// Longest wait for anything other than the measured load.
@@ -195,7 +195,7 @@
     fn status(&self, host: usize) -> Option<Value> {
         let control = self.running[host].as_ref()?.control.as_ref()?;
         let address = control.operator_address().to_string();
-        OperatorPort { address: &address, token: None }.get("/v1/status").ok()
+        OperatorClient { address: &address, token: None }.get("/v1/status").ok()
     }
 
     /// Sends claims on `streams` concurrent streams for `length`; returns one row of the table.
--- a/crates/cli/src/cmd/measure/capacity/lines.rs
+++ b/crates/cli/src/cmd/measure/capacity/lines.rs
@@ -16,7 +16,7 @@
 use super::settings;
 use super::window::{WindowUsage, measure_window};
 use crate::cmd::CommandError;
-use crate::cmd::operator::OperatorPort;
+use crate::cmd::operator::OperatorClient;
 
 /// Idle time of a fleet before it is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
@@ -141,11 +141,11 @@
     number: u64,
 ) -> Result<Duration, CommandError> {
     let operator = control.operator.to_string();
-    let port = OperatorPort { address: &operator, token: None };
+    let client = OperatorClient { address: &operator, token: None };
     let text = format!("# change {number}\n{}", settings::RULES);
     let change = briartray_node::new_change_id().to_string();
     let started = Instant::now();
-    let reply = port.post("/v1/rules", &json!({ "change": change, "text": text }))?;
+    let reply = client.post("/v1/rules", &json!({ "change": change, "text": text }))?;
     let revision = reply["revision"].as_u64().unwrap_or(u64::MAX);
     while peers.oldest_revision() < revision {
         if started.elapsed() > CHANGE_TIMEOUT {
--- a/crates/cli/src/cmd/measure/leases.rs
+++ b/crates/cli/src/cmd/measure/leases.rs
@@ -13,7 +13,9 @@
 
 use super::outcomes::program_folder;
 use crate::cmd::{CommandError, OutputFormat};
-use crate::trial::{ProcessFleet, ProcessSignal, TrialError, TrialPlan, ask_desk, post_json};
+use crate::trial::{
+    ProcessFleet, ProcessSignal, TrialError, TrialPlan, post_json, request_completion,
+};
 
 /// Requests sent to an entry right after it resumes.
 const RESUMED_REQUESTS: usize = 100;
@@ -141,14 +143,14 @@
 fn change_while_paused(case: HoldCase) -> Result<(f64, bool, usize), TrialError> {
     let fleet = ProcessFleet::start(&trial_plan(case)?)?;
     let entry = fleet.entry_addresses()[0];
-    ask_desk(entry, 1)?;
+    request_completion(entry, 1)?;
     fleet.entries[0].signal(ProcessSignal::Stop);
     let started = Instant::now();
     let accepted = apply_deny_all(&fleet, started)?;
     let answered = started.elapsed();
     fleet.entries[0].signal(ProcessSignal::Continue);
     let stale = (0..RESUMED_REQUESTS)
-        .filter(|_| ask_desk(entry, 1).is_ok_and(|(status, _)| status == 200))
+        .filter(|_| request_completion(entry, 1).is_ok_and(|(status, _)| status == 200))
         .count();
     Ok((answered.as_secs_f64(), accepted, stale))
 }
--- a/crates/cli/src/cmd/operator.rs
+++ b/crates/cli/src/cmd/operator.rs
@@ -49,8 +49,8 @@
         }
 
         impl $name {
-            fn client(&self) -> $crate::cmd::operator::OperatorPort<'_> {
-                $crate::cmd::operator::OperatorPort {
+            fn client(&self) -> $crate::cmd::operator::OperatorClient<'_> {
+                $crate::cmd::operator::OperatorClient {
                     address: &self.operator,
                     token: self.token.as_deref(),
                 }
@@ -61,14 +61,14 @@
 
 /// Client of the operators' ports of one or more control hosts.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct OperatorPort<'a> {
+pub(super) struct OperatorClient<'a> {
     /// Addresses, separated by commas.
     pub(super) address: &'a str,
     /// Bearer token, the same for all control hosts.
     pub(super) token: Option<&'a str>,
 }
 
-impl OperatorPort<'_> {
+impl OperatorClient<'_> {
     /// Gets `path` and returns the body of the response.
     pub(super) fn get(&self, path: &str) -> Result<Value, CommandError> {
         self.try_each_host(|address| self.send(attohttpc::get(url(address, path)), address, None))
--- a/crates/cli/src/trial/mod.rs
+++ b/crates/cli/src/trial/mod.rs
@@ -16,6 +16,6 @@
 pub use claims::{ClaimRow, measure_claims};
 pub use fault::{OutcomeRow, TrialFault, run_fault};
 pub use fleet::{FleetAgent, ProcessFleet, TrialPlan};
-pub use probe::{ask_desk, get_json, post_json};
+pub use probe::{get_json, post_json, request_completion};
 pub use process::{ChildProcess, ProcessSignal, TrialError};
 pub use relay::PathRelay;
--- a/crates/cli/src/trial/probe.rs
+++ b/crates/cli/src/trial/probe.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// `TrialError::Load` if there is no response or its body is not JSON.
-pub fn ask_desk(entry: SocketAddr, tokens: u32) -> Result<(u16, Value), TrialError> {
+pub fn request_completion(entry: SocketAddr, tokens: u32) -> Result<(u16, Value), TrialError> {
     let body = json!({ "model": "desk", "prompt": "status of lot 7", "max_tokens": tokens });
     post_json(entry, "/v1/completions", &body)
 }
--- a/crates/cli/tests/group_failures.rs
+++ b/crates/cli/tests/group_failures.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use briartray::trial::{ProcessFleet, ProcessSignal, TrialPlan, ask_desk, get_json};
+use briartray::trial::{ProcessFleet, ProcessSignal, TrialPlan, get_json, request_completion};
 use serde_json::Value;
 
 /// Time limit for a condition; generous so that a busy machine does not fail a test.
@@ -45,7 +45,7 @@
 }
 
 fn status_of(entry: SocketAddr) -> u16 {
-    ask_desk(entry, 1).expect("the entry answers").0
+    request_completion(entry, 1).expect("the entry answers").0
 }
 
 /// Number of requests in the run log of an engine.
@@ -83,7 +83,7 @@
     let entry = fleet.entry_addresses()[0];
 
     let answers: Vec<(u16, Value)> =
-        (0..REQUESTS).map(|_| ask_desk(entry, 1).expect("the entry answers")).collect();
+        (0..REQUESTS).map(|_| request_completion(entry, 1).expect("the entry answers")).collect();
 
     let after: usize = engines.iter().map(|engine| runs(*engine)).sum();
     assert!(answers.iter().all(|(_, body)| body["outcome"] == "not_run"), "{answers:?}");
@@ -156,7 +156,9 @@
 
     fleet.agents[first].agent.signal(ProcessSignal::Stop);
     let callers: Vec<_> = (0..8)
-        .map(|_| std::thread::spawn(move || ask_desk(entry, 1).expect("the entry answers")))
+        .map(|_| {
+            std::thread::spawn(move || request_completion(entry, 1).expect("the entry answers"))
+        })
         .collect();
     fleet.agents[member].agent.signal(ProcessSignal::Kill);
     std::thread::sleep(Duration::from_secs(3));
--- a/crates/cli/tests/rules_in_force.rs
+++ b/crates/cli/tests/rules_in_force.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use briartray::trial::{ProcessFleet, ProcessSignal, TrialPlan, ask_desk, post_json};
+use briartray::trial::{ProcessFleet, ProcessSignal, TrialPlan, post_json, request_completion};
 use briartray_model::lease::HoldPolicy;
 use serde_json::{Value, json};
 
@@ -53,7 +53,7 @@
 
 /// Requests one token; returns the status and body of the response.
 fn request_token(entry: SocketAddr) -> (u16, Value) {
-    ask_desk(entry, 1).expect("the entry answers")
+    request_completion(entry, 1).expect("the entry answers")
 }
 
 /// Polls until `condition` holds; fails after `TIMEOUT`.
