--- a/crates/standin/src/engine/answer.rs
+++ b/crates/standin/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the engine, with the faults that were drawn for them.
+//! Sends the answers of the engine and injects the faults drawn for them.
 
 use std::time::Duration;
 
@@ -9,60 +9,60 @@
 use super::api::refuse;
 use super::core::EngineShared;
 use super::manage::query_number;
-use super::track::{RequestTrack, TrackEnd};
+use super::tracked::{RequestEnd, TrackedRequest};
 use crate::fault::{DrawnFaults, FaultKind};
 use crate::text::{expected_text, token_text};
 
-/// How long one look at a request's progress waits.
-const LOOK_WAIT: Duration = Duration::from_secs(1);
+/// Time of one wait for progress; the wait is repeated until the request ends.
+const PROGRESS_WAIT: Duration = Duration::from_secs(1);
 
-/// What a crossed answer answers instead.
-const OTHER_PROMPT: &str = "the prompt of another caller";
+/// Prompt that a crossed answer belongs to.
+const CROSSED_PROMPT: &str = "the prompt of another caller";
 
-/// Identity that a crossed answer carries.
-const OTHER_ID: &str = "ffffffffffffffffffffffffffffffff";
+/// Request id of a crossed answer.
+const CROSSED_ID: &str = "ffffffffffffffffffffffffffffffff";
 
-/// Identity and prompt that an answer carries: its own, or another's when it is crossed.
-fn subject<'a>(track: &'a RequestTrack, faults: &DrawnFaults) -> (&'a str, &'a str) {
+/// Returns the request id and prompt to answer with: those of another request if crossed.
+fn answer_identity<'a>(tracked: &'a TrackedRequest, faults: &DrawnFaults) -> (&'a str, &'a str) {
     if faults.has(FaultKind::Crossed) {
-        (OTHER_ID, OTHER_PROMPT)
+        (CROSSED_ID, CROSSED_PROMPT)
     } else {
-        (&track.id, &track.prompt)
+        (&tracked.id, &tracked.prompt)
     }
 }
 
-/// Answers with one JSON body.
-pub(super) fn whole(request: Request, track: &RequestTrack, faults: &DrawnFaults) {
+/// Waits for the end of the request and replies with a JSON body.
+pub(super) fn send_json(request: Request, tracked: &TrackedRequest, faults: &DrawnFaults) {
     let end = loop {
-        if let Some(end) = track.wait_end(LOOK_WAIT).end {
+        if let Some(end) = tracked.wait_end(PROGRESS_WAIT).end {
             break end;
         }
     };
-    if end != TrackEnd::Whole {
+    if end != RequestEnd::Whole {
         return refuse(request, 499, "the request was cancelled");
     }
-    std::thread::sleep(faults.time(FaultKind::Slow) * track.tokens);
-    let (id, prompt) = subject(track, faults);
-    let mut text = expected_text(prompt, track.tokens);
+    std::thread::sleep(faults.duration(FaultKind::Slow) * tracked.tokens);
+    let (id, prompt) = answer_identity(tracked, faults);
+    let mut text = expected_text(prompt, tracked.tokens);
     if faults.has(FaultKind::Doubled) {
         text = text.repeat(2);
     }
     let body = json!({
         "id": id,
-        "object": if track.chat { "chat.completion" } else { "text_completion" },
-        "model": track.model,
-        "choices": [choice(track.chat, "message", &text, Some("stop"))],
-        "usage": { "completion_tokens": track.tokens },
+        "object": if tracked.chat { "chat.completion" } else { "text_completion" },
+        "model": tracked.model,
+        "choices": [choice(tracked.chat, "message", &text, Some("stop"))],
+        "usage": { "completion_tokens": tracked.tokens },
     });
     if faults.has(FaultKind::Cut) || faults.has(FaultKind::Silent) {
-        break_off(request, &body.to_string(), faults);
+        send_half_body(request, &body.to_string(), faults);
         return;
     }
     reply_json(request, &JsonReply::new(200, body));
 }
 
-/// Sends half a body, then closes the connection or keeps it open in silence.
-fn break_off(request: Request, body: &str, faults: &DrawnFaults) {
+/// Sends half of the body, stalls for the time of a `Silent` fault and closes the connection.
+fn send_half_body(request: Request, body: &str, faults: &DrawnFaults) {
     let mut output = request.into_writer();
     let head = format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
@@ -74,25 +74,30 @@
         .and_then(|()| output.write_all(half))
         .and_then(|()| output.flush());
     if let Err(error) = sent {
-        log::debug!("caller went before half an answer: {error}");
+        log::debug!("caller disconnected before half of the answer was sent: {error}");
     }
-    std::thread::sleep(faults.time(FaultKind::Silent));
+    std::thread::sleep(faults.duration(FaultKind::Silent));
 }
 
-/// Answers with an event stream from token `from` on.
-pub(super) fn stream(request: Request, track: &RequestTrack, from: u32, faults: &DrawnFaults) {
-    if let Err(error) = send_tokens(request, track, from, faults) {
-        log::debug!("engine stream {} ended early: {error}", track.id);
+/// Replies with an event stream that starts at token `from`.
+pub(super) fn send_stream(
+    request: Request,
+    tracked: &TrackedRequest,
+    from: u32,
+    faults: &DrawnFaults,
+) {
+    if let Err(error) = send_tokens(request, tracked, from, faults) {
+        log::debug!("stream of request {} ended early: {error}", tracked.id);
     }
 }
 
-/// Resumes the stream of a known request.
-pub(super) fn resume(request: Request, shared: &EngineShared, id: &str) {
+/// Resumes the stream of a request at the token in the query.
+pub(super) fn resume_stream(request: Request, shared: &EngineShared, id: &str) {
     let from = query_number(&request, "from").unwrap_or(0);
     match shared.find(id) {
-        Some(track) => {
+        Some(tracked) => {
             let from = u32::try_from(from).unwrap_or(u32::MAX);
-            stream(request, &track, from, &DrawnFaults::default());
+            send_stream(request, &tracked, from, &DrawnFaults::default());
         }
         None => refuse(request, 404, "the request is not known here; send it anew"),
     }
@@ -100,25 +105,25 @@
 
 fn send_tokens(
     request: Request,
-    track: &RequestTrack,
+    tracked: &TrackedRequest,
     from: u32,
     faults: &DrawnFaults,
 ) -> std::io::Result<()> {
-    let (id, prompt) = subject(track, faults);
+    let (id, prompt) = answer_identity(tracked, faults);
     let mut events = EventWriter::start(request.into_writer(), &[])?;
     let mut next = from;
     loop {
-        let state = track.wait_beyond(next, LOOK_WAIT);
-        while next < state.made {
-            if next >= track.tokens / 2 && faults.has(FaultKind::Cut) {
+        let state = tracked.wait_for_token(next, PROGRESS_WAIT);
+        while next < state.generated {
+            if next >= tracked.tokens / 2 && faults.has(FaultKind::Cut) {
                 return Ok(());
             }
-            if next >= track.tokens / 2 && faults.has(FaultKind::Silent) {
-                std::thread::sleep(faults.time(FaultKind::Silent));
+            if next >= tracked.tokens / 2 && faults.has(FaultKind::Silent) {
+                std::thread::sleep(faults.duration(FaultKind::Silent));
                 return Ok(());
             }
-            std::thread::sleep(faults.time(FaultKind::Slow));
-            let event = token_event(track, id, prompt, next).to_string();
+            std::thread::sleep(faults.duration(FaultKind::Slow));
+            let event = token_event(tracked, id, prompt, next).to_string();
             events.event(event.as_bytes())?;
             if faults.has(FaultKind::Doubled) {
                 events.event(event.as_bytes())?;
@@ -126,9 +131,9 @@
             next += 1;
         }
         match state.end {
-            Some(TrackEnd::Whole) => break,
-            // Without its end mark the stream does not look whole.
-            Some(TrackEnd::Cancelled | TrackEnd::Stopped) => return Ok(()),
+            Some(RequestEnd::Whole) => break,
+            // Omits the `[DONE]` event, so that the reader sees an incomplete stream.
+            Some(RequestEnd::Cancelled | RequestEnd::Stopped) => return Ok(()),
             None => {}
         }
     }
@@ -136,14 +141,14 @@
     events.finish()
 }
 
-fn token_event(track: &RequestTrack, id: &str, prompt: &str, index: u32) -> Value {
-    let finish = (index + 1 == track.tokens).then_some("stop");
+fn token_event(tracked: &TrackedRequest, id: &str, prompt: &str, index: u32) -> Value {
+    let finish = (index + 1 == tracked.tokens).then_some("stop");
     json!({
         "id": id,
-        "object": if track.chat { "chat.completion.chunk" } else { "text_completion" },
-        "model": track.model,
+        "object": if tracked.chat { "chat.completion.chunk" } else { "text_completion" },
+        "model": tracked.model,
         "token_index": index,
-        "choices": [choice(track.chat, "delta", &token_text(prompt, index), finish)],
+        "choices": [choice(tracked.chat, "delta", &token_text(prompt, index), finish)],
     })
 }
 
--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP calls: which path goes where, and completions.
+//! HTTP API of the engine: dispatch by path, and completions.
 
 use std::time::Duration;
 
@@ -16,19 +16,19 @@
 use crate::runs::handle_common;
 use crate::text::prompt_digest;
 
-/// Largest request body, in bytes.
-pub(super) const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+pub(super) const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Tokens generated when a request names no number.
-const DEFAULT_TOKENS: u32 = 16;
+/// Tokens to generate for a request without `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Priority of requests that name none.
+/// Priority of a request without `x-priority`.
 const DEFAULT_PRIORITY: u8 = 100;
 
-/// Time from the beginning of a fatal request to the end of the process.
-const CRASH_AFTER: Duration = Duration::from_millis(30);
+/// Time from the submission of a fatal request to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// Exit status of a process that a fatal request ended.
+/// Exit status after a crash, which is that of an abort signal (128 + 6).
 const CRASH_STATUS: i32 = 134;
 
 #[derive(Debug, Deserialize)]
@@ -60,14 +60,14 @@
     }
 }
 
-/// Answers one request.
+/// Dispatches a request.
 pub(super) fn handle(request: Request, shared: &EngineShared) {
     let path = request.url().split('?').next().unwrap_or_default().to_owned();
     let Some(request) = handle_common(request, &path, &shared.runs, &shared.faults) else { return };
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.method(), parts.as_slice()) {
         (_, ["health"]) => {
-            let ready = shared.orders().is_settled();
+            let ready = shared.orders().is_idle();
             let status = if ready { 200 } else { 503 };
             reply_json(request, &JsonReply::new(status, json!({ "ready": ready })));
         }
@@ -77,34 +77,36 @@
             reply_json(request, &JsonReply::new(200, json!(shared.load())));
         }
         (Method::Get, ["cache", "events"]) => manage::cache_events(request, shared),
-        (Method::Get, ["requests", id]) => answer::resume(request, shared, id),
+        (Method::Get, ["requests", id]) => answer::resume_stream(request, shared, id),
         (Method::Post, ["requests", id, "cancel"]) => manage::cancel(request, shared, id),
         (Method::Get, ["kv", prefix]) => manage::export_blob(request, shared, prefix),
         (Method::Put, ["kv", prefix]) => manage::import_blob(request, shared, prefix),
         (Method::Get, ["orders"]) => manage::list_orders(request, shared),
-        (Method::Post, ["orders"]) => manage::take_order(request, shared),
+        (Method::Post, ["orders"]) => manage::apply_order(request, shared),
         _ => refuse(request, 404, "no such call"),
     }
 }
 
-/// Refuses one request.
+/// Replies with an error message.
 pub(super) fn refuse(request: Request, status: u16, message: &str) {
     reply_json(request, &JsonReply::new(status, json!({ "error": { "message": message } })));
 }
 
-/// Ends the whole process in a moment, as a defect of an engine does.
-fn end_process() {
+/// Exits the whole process after `CRASH_DELAY`, to simulate a crash of the engine.
+fn crash_process() {
     let end = || {
-        std::thread::sleep(CRASH_AFTER);
+        std::thread::sleep(CRASH_DELAY);
         std::process::exit(CRASH_STATUS);
     };
     if let Err(error) = spawn_worker("crash", WORKER_STACK_BYTES, end) {
-        log::error!("cannot crash: {error}; raise the thread limit");
+        log::error!(
+            "cannot start the thread that simulates a crash: {error}; raise the thread limit"
+        );
     }
 }
 
 fn complete(mut request: Request, shared: &EngineShared, path: &str, chat: bool) {
-    let body = match read_body(&mut request, MAX_BODY) {
+    let body = match read_body(&mut request, MAX_BODY_BYTES) {
         Ok(body) => body,
         Err(error) => return refuse(request, 400, &error.to_string()),
     };
@@ -116,24 +118,24 @@
     if faults.has(FaultKind::Refuse) {
         return refuse(request, 503, "refused by a fault");
     }
-    std::thread::sleep(faults.time(FaultKind::Late));
+    std::thread::sleep(faults.duration(FaultKind::Late));
     let id = header_value(&request, "x-request-id").unwrap_or("none").to_owned();
     let key = header_value(&request, "idempotency-key").map(str::to_owned);
     let priority = header_value(&request, "x-priority").and_then(|value| value.parse().ok());
     let prompt = call.prompt_text();
     let run = shared.runs.begin(&id, key.as_deref(), path, &prompt_digest(&prompt));
-    let track = shared.submit(&id, &prompt, run, |track| {
-        track.model.clone_from(&call.model);
-        track.tokens = call.max_tokens.unwrap_or(DEFAULT_TOKENS).max(1);
-        track.priority = priority.unwrap_or(DEFAULT_PRIORITY);
-        track.chat = chat;
+    let tracked = shared.submit(&id, &prompt, run, |tracked| {
+        tracked.model.clone_from(&call.model);
+        tracked.tokens = call.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1);
+        tracked.priority = priority.unwrap_or(DEFAULT_PRIORITY);
+        tracked.chat = chat;
     });
     if shared.settings.fatal_prompt.as_ref() == Some(&prompt) {
-        end_process();
+        crash_process();
     }
     if call.stream {
-        answer::stream(request, &track, 0, &faults);
+        answer::send_stream(request, &tracked, 0, &faults);
     } else {
-        answer::whole(request, &track, &faults);
+        answer::send_json(request, &tracked, &faults);
     }
 }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,6 +1,6 @@
-//! Which requests take part in the next step: continuous batching with priorities.
+//! Continuous batching with priorities: selects the requests of each step.
 
-/// A request that waits for a place in the batch.
+/// A request waiting for a slot in the batch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct WaitingRequest {
     number: u64,
@@ -12,49 +12,49 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct RunningRequest {
     number: u64,
-    left: u32,
+    tokens_left: u32,
 }
 
-/// One token for one request.
+/// A token generated for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecodedToken {
-    /// Which request.
+    /// Number of the request.
     pub number: u64,
-    /// Whether it was the last token.
+    /// Whether it is the last token of the request.
     pub last: bool,
 }
 
-/// What one step does.
+/// Result of one step.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct BatchStep {
-    /// Requests whose prompt is read in this step.
+    /// Numbers of the requests that entered the batch and need their prompt prefilled.
     pub started: Vec<u64>,
-    /// Tokens that the step yields.
+    /// Tokens generated in the step.
     pub decoded: Vec<DecodedToken>,
 }
 
-/// The batch and the requests that wait for it.
+/// The batch and the queue of requests waiting for it.
 #[derive(Debug)]
 pub struct BatchQueue {
-    limit: usize,
-    /// Highest priority first, then in order of arrival.
+    max_running: usize,
+    /// By descending priority, then by arrival.
     waiting: Vec<WaitingRequest>,
     running: Vec<RunningRequest>,
 }
 
 impl BatchQueue {
-    /// An empty batch for `limit` requests.
-    pub fn new(limit: usize) -> Self {
-        Self { limit: limit.max(1), waiting: Vec::new(), running: Vec::new() }
+    /// Creates an empty batch for up to `max_running` requests, at least one.
+    pub fn new(max_running: usize) -> Self {
+        Self { max_running: max_running.max(1), waiting: Vec::new(), running: Vec::new() }
     }
 
-    /// Adds a request; `number` is its identity here.
+    /// Queues a request for `tokens` tokens, at least one; `number` must be unique.
     pub fn submit(&mut self, number: u64, priority: u8, tokens: u32) {
         let at = self.waiting.partition_point(|other| other.priority >= priority);
         self.waiting.insert(at, WaitingRequest { number, priority, tokens: tokens.max(1) });
     }
 
-    /// Takes a request out; whether it was there.
+    /// Removes a request; returns whether it was waiting or running.
     pub fn cancel(&mut self, number: u64) -> bool {
         let before = self.waiting.len() + self.running.len();
         self.waiting.retain(|request| request.number != number);
@@ -62,29 +62,31 @@
         before > self.waiting.len() + self.running.len()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests in the batch.
+    /// Returns the number of requests in the batch.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Fills the batch and decodes one token for each request in it.
+    /// Fills free slots from the queue and generates one token for each request in the batch.
     pub fn step(&mut self) -> BatchStep {
-        let free = self.limit.saturating_sub(self.running.len()).min(self.waiting.len());
+        let free = self.max_running.saturating_sub(self.running.len()).min(self.waiting.len());
         let mut step = BatchStep::default();
         for request in self.waiting.drain(..free) {
             step.started.push(request.number);
-            self.running.push(RunningRequest { number: request.number, left: request.tokens });
+            self.running
+                .push(RunningRequest { number: request.number, tokens_left: request.tokens });
         }
         for request in &mut self.running {
-            request.left -= 1;
-            step.decoded.push(DecodedToken { number: request.number, last: request.left == 0 });
+            request.tokens_left -= 1;
+            step.decoded
+                .push(DecodedToken { number: request.number, last: request.tokens_left == 0 });
         }
-        self.running.retain(|request| request.left > 0);
+        self.running.retain(|request| request.tokens_left > 0);
         step
     }
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! A cache of prompt prefixes with bounded memory, and the events it publishes.
+//! LRU cache of prompt prefixes, bounded in blocks, and the events that it publishes.
 
 use std::time::Duration;
 
@@ -7,76 +7,78 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of prompt that count as one token.
+/// Prompt bytes per token.
 pub const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of prompt in one block: sixteen tokens.
+/// Prompt bytes per cache block, which is 16 tokens.
 pub const BLOCK_BYTES: usize = 16 * BYTES_PER_TOKEN;
 
-/// Bytes of the blob that stands for one block's keys and values.
+/// Size of the blob that represents the keys and values of a block, in bytes.
 const BLOB_BYTES: usize = 256;
 
-/// Events that are remembered for slow readers.
+/// Maximum number of events kept for slow readers.
 const MAX_EVENTS: usize = 4096;
 
 plain_choice! {
-    /// What happened to a prefix.
+    /// Kind of a cache event.
     pub enum CacheChange {
-        /// It is cached now.
+        /// The prefix was added.
         Stored,
-        /// It is cached no more.
+        /// The prefix was evicted.
         Evicted,
     }
 }
 
 plain_value! {
-    /// One change of the cache.
+    /// A change of the cache.
     pub struct CacheEvent {
-        /// Position; a missing one was lost.
+        /// Sequence number, from one; a gap means that an event was lost.
         pub sequence: u64,
-        /// What happened.
+        /// Kind of the change.
         pub change: CacheChange,
-        /// Hash of the prompt from its start up to the end of the block.
+        /// Hash of the prompt from its start to the end of the block, in hexadecimal.
         pub prefix: String,
     }
 }
 
-/// Prefixes in the order of their last use.
+/// LRU cache of prefixes.
 #[derive(Debug)]
 pub struct PrefixCache {
-    limit: usize,
-    delay: Duration,
-    loss: f64,
+    max_blocks: usize,
+    event_delay: Duration,
+    event_loss: f64,
     generator: ChaCha8Rng,
-    /// Last use by prefix hash.
+    /// Value of `use_count` at the last use, by prefix hash.
     blocks: SortedTable<u64, u64>,
-    uses: u64,
-    next_event: u64,
+    use_count: u64,
+    next_sequence: u64,
     events: Vec<(Duration, CacheEvent)>,
 }
 
 impl PrefixCache {
-    /// An empty cache of `limit` blocks whose events come `delay` late; a share `loss` never does.
-    pub fn new(limit: usize, delay: Duration, loss: f64, seed: u64) -> Self {
+    /// Creates an empty cache of `max_blocks` blocks.
+    ///
+    /// Events are published `event_delay` late; a share `event_loss` (0 to 1) of them is lost.
+    pub fn new(max_blocks: usize, event_delay: Duration, event_loss: f64, seed: u64) -> Self {
         Self {
-            limit,
-            delay,
-            loss: loss.clamp(0.0, 1.0),
+            max_blocks,
+            event_delay,
+            event_loss: event_loss.clamp(0.0, 1.0),
             generator: ChaCha8Rng::seed_from_u64(seed),
             blocks: SortedTable::new(),
-            uses: 0,
-            next_event: 1,
+            use_count: 0,
+            next_sequence: 1,
             events: Vec::new(),
         }
     }
 
-    /// Uses `prompt`: stores its blocks and returns how many tokens were not cached.
+    /// Adds the blocks of `prompt` and returns the number of tokens that were not cached.
     pub fn read_prompt(&mut self, now: Duration, prompt: &str) -> usize {
         let mut cached = 0;
         let mut unbroken = true;
         for hash in block_hashes(prompt) {
-            self.uses += 1;
-            let known = self.blocks.insert(hash, self.uses).is_some();
+            self.use_count += 1;
+            let known = self.blocks.insert(hash, self.use_count).is_some();
             unbroken &= known;
             if unbroken {
                 cached += BLOCK_BYTES;
@@ -89,38 +91,38 @@
         (prompt.len() - cached).div_ceil(BYTES_PER_TOKEN)
     }
 
-    /// Blocks that are cached.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is cached.
+    /// Returns whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Events after `cursor` that are old enough to be published.
+    /// Returns the published events with a sequence number above `cursor`.
     pub fn events_after(&self, now: Duration, cursor: u64) -> Vec<CacheEvent> {
-        let due = |at: Duration| at + self.delay <= now;
+        let is_due = |at: Duration| at + self.event_delay <= now;
         self.events
             .iter()
-            .filter(|(at, event)| event.sequence > cursor && due(*at))
+            .filter(|(at, event)| event.sequence > cursor && is_due(*at))
             .map(|(_, event)| event.clone())
             .collect()
     }
 
-    /// The blob of a cached prefix.
+    /// Returns the blob of a cached prefix.
     pub fn export_blob(&self, prefix: u64) -> Option<Vec<u8>> {
         self.blocks.contains_key(&prefix).then(|| make_blob(prefix))
     }
 
-    /// Stores a prefix from another engine's blob; `false` when the blob is damaged.
+    /// Adds a prefix from another engine's blob; returns `false` if the blob does not match it.
     pub fn import_blob(&mut self, now: Duration, prefix: u64, blob: &[u8]) -> bool {
         if blob != make_blob(prefix) {
             return false;
         }
-        self.uses += 1;
-        if self.blocks.insert(prefix, self.uses).is_none() {
+        self.use_count += 1;
+        if self.blocks.insert(prefix, self.use_count).is_none() {
             self.publish(now, CacheChange::Stored, prefix);
         }
         self.evict(now);
@@ -128,7 +130,7 @@
     }
 
     fn evict(&mut self, now: Duration) {
-        while self.blocks.len() > self.limit {
+        while self.blocks.len() > self.max_blocks {
             let oldest = self.blocks.iter().min_by_key(|(_, used)| **used).map(|(hash, _)| *hash);
             let Some(oldest) = oldest else { return };
             self.blocks.remove(&oldest);
@@ -137,9 +139,9 @@
     }
 
     fn publish(&mut self, now: Duration, change: CacheChange, hash: u64) {
-        let sequence = self.next_event;
-        self.next_event += 1;
-        if self.generator.random_bool(self.loss) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        if self.generator.random_bool(self.event_loss) {
             return;
         }
         if self.events.len() >= MAX_EVENTS {
@@ -150,14 +152,14 @@
     }
 }
 
-/// Hash of `prompt` from its start to the end of each whole block.
+/// Returns the hash of `prompt` from its start to the end of each full block.
 pub fn block_hashes(prompt: &str) -> Vec<u64> {
     let bytes = prompt.as_bytes();
     let ends = (1..=bytes.len() / BLOCK_BYTES).map(|block| block * BLOCK_BYTES);
     ends.map(|end| xxh3_64(&bytes[..end])).collect()
 }
 
-/// A blob that a damaged or foreign one never equals: bytes drawn from the prefix's hash.
+/// Generates the blob of a prefix from its hash, so that a damaged or foreign blob is detected.
 fn make_blob(prefix: u64) -> Vec<u8> {
     let mut generator = ChaCha8Rng::seed_from_u64(prefix);
     (0..BLOB_BYTES).map(|_| generator.random()).collect()
--- a/crates/standin/src/engine/core.rs
+++ b/crates/standin/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine's own thread: steps the batch and hands out tokens.
+//! The engine thread, which runs the batch step by step, and the state it shares with the API.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,69 +11,69 @@
 use super::cache::PrefixCache;
 use super::orders::OrderBook;
 use super::settings::EngineSettings;
-use super::track::{RequestTrack, TrackEnd};
-use crate::fault::FaultSwitch;
+use super::tracked::{RequestEnd, TrackedRequest};
+use crate::fault::FaultInjector;
 use crate::runs::{RunLog, RunState};
 
-/// How long the idle thread waits before it looks around again.
-const IDLE_WAIT: Duration = Duration::from_millis(100);
+/// Time that the idle thread waits for an input before it publishes its load again.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Requests that can still be resumed or read again.
-const MAX_TRACKS: usize = 16_384;
+/// Maximum number of requests that can be looked up by id, to resume or cancel them.
+const MAX_TRACKED_REQUESTS: usize = 16_384;
 
-/// Load reports that are kept for the lag.
-const MAX_REPORTS: usize = 1024;
+/// Maximum number of load reports kept; `load_lag` is served from them.
+const MAX_LOAD_REPORTS: usize = 1024;
 
-/// Time between two load reports.
-const REPORT_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum time between two load reports.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
 plain_value! {
-    /// Load of the engine at one time.
+    /// Load report of the engine.
     #[derive(Copy, Default)]
     pub struct EngineLoad {
         /// Requests in the batch.
         pub running: usize,
-        /// Requests that wait.
+        /// Requests waiting for the batch.
         pub waiting: usize,
         /// Blocks in the prefix cache.
         pub cached_blocks: usize,
-        /// Time of the last step, in microseconds.
+        /// Duration of the last step, in microseconds; zero when idle.
         pub step_micros: u64,
         /// Age of this report, in milliseconds.
         pub age_ms: u64,
     }
 }
 
-/// One input of the engine's thread.
+/// Message to the engine thread; `Cancel` contains the request number.
 pub(super) enum EngineInput {
-    Submit(Arc<RequestTrack>),
+    Submit(Arc<TrackedRequest>),
     Cancel(u64),
     Stop,
 }
 
-/// What the engine's threads share.
+/// State shared by the engine thread and the HTTP handlers.
 pub(super) struct EngineShared {
     pub(super) settings: EngineSettings,
     pub(super) runs: RunLog,
-    pub(super) faults: FaultSwitch,
+    pub(super) faults: FaultInjector,
     inputs: Sender<EngineInput>,
     started: Instant,
     cache: Mutex<PrefixCache>,
     orders: Mutex<OrderBook>,
-    tracks: Mutex<TrackTable>,
+    requests: Mutex<RequestTable>,
     reports: Mutex<Vec<(Duration, EngineLoad)>>,
 }
 
-/// Requests by number; the newest of one id counts.
+/// Requests by number, and for each id the number of its newest request.
 #[derive(Default)]
-struct TrackTable {
-    next: u64,
-    tracks: SortedTable<u64, Arc<RequestTrack>>,
-    numbers: SortedTable<String, u64>,
+struct RequestTable {
+    last_number: u64,
+    requests: SortedTable<u64, Arc<TrackedRequest>>,
+    number_by_id: SortedTable<String, u64>,
 }
 
 impl EngineShared {
-    /// Starts the engine's thread.
+    /// Starts the engine thread.
     pub(super) fn start(settings: EngineSettings) -> std::io::Result<Arc<Self>> {
         let (inputs, queue) = unbounded();
         let cache = PrefixCache::new(
@@ -84,12 +84,12 @@
         );
         let shared = Arc::new(Self {
             runs: RunLog::default(),
-            faults: FaultSwitch::new(&settings.faults),
+            faults: FaultInjector::new(&settings.faults),
             inputs,
             started: Instant::now(),
             cache: Mutex::new(cache),
             orders: Mutex::new(OrderBook::new(settings.checks_fencing)),
-            tracks: Mutex::default(),
+            requests: Mutex::default(),
             reports: Mutex::default(),
             settings,
         });
@@ -98,7 +98,7 @@
         Ok(shared)
     }
 
-    /// Time since the engine started.
+    /// Returns the time since the engine started.
     pub(super) fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -111,34 +111,34 @@
         self.orders.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands a request to the engine's thread; `fill` sets what the call asks for.
+    /// Submits a request to the engine thread; `configure` sets the options of the call.
     pub(super) fn submit(
         &self,
         id: &str,
         prompt: &str,
         run: u64,
-        fill: impl FnOnce(&mut RequestTrack),
-    ) -> Arc<RequestTrack> {
-        let mut table = self.tracks.lock().unwrap_or_else(PoisonError::into_inner);
-        table.next += 1;
-        let mut track = RequestTrack::new(table.next, run, id, prompt);
-        fill(&mut track);
-        let track = Arc::new(track);
-        table.tracks.insert(track.number, Arc::clone(&track));
-        table.numbers.insert(id.to_owned(), track.number);
-        table.forget_oldest();
+        configure: impl FnOnce(&mut TrackedRequest),
+    ) -> Arc<TrackedRequest> {
+        let mut table = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        table.last_number += 1;
+        let mut tracked = TrackedRequest::new(table.last_number, run, id, prompt);
+        configure(&mut tracked);
+        let tracked = Arc::new(tracked);
+        table.requests.insert(tracked.number, Arc::clone(&tracked));
+        table.number_by_id.insert(id.to_owned(), tracked.number);
+        table.evict_oldest();
         drop(table);
-        if self.inputs.send(EngineInput::Submit(Arc::clone(&track))).is_err() {
-            track.finish(TrackEnd::Stopped);
+        if self.inputs.send(EngineInput::Submit(Arc::clone(&tracked))).is_err() {
+            tracked.finish(RequestEnd::Stopped);
         }
-        track
+        tracked
     }
 
-    /// The newest request with this id.
-    pub(super) fn find(&self, id: &str) -> Option<Arc<RequestTrack>> {
-        let table = self.tracks.lock().unwrap_or_else(PoisonError::into_inner);
-        let number = table.numbers.get(&id.to_owned())?;
-        table.tracks.get(number).cloned()
+    /// Returns the newest request with this id.
+    pub(super) fn find(&self, id: &str) -> Option<Arc<TrackedRequest>> {
+        let table = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
+        let number = table.number_by_id.get(&id.to_owned())?;
+        table.requests.get(number).cloned()
     }
 
     pub(super) fn cancel(&self, number: u64) {
@@ -149,12 +149,12 @@
         let _ = self.inputs.send(EngineInput::Stop);
     }
 
-    /// The newest load that is old enough to be reported.
+    /// Returns the newest load report that is at least `load_lag` old, or an empty one.
     pub(super) fn load(&self) -> EngineLoad {
         let now = self.now();
         let reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
-        let old_enough = |(at, _): &&(Duration, EngineLoad)| *at + self.settings.load_lag <= now;
-        let found = reports.iter().rev().find(old_enough);
+        let is_reportable = |(at, _): &&(Duration, EngineLoad)| *at + self.settings.load_lag <= now;
+        let found = reports.iter().rev().find(is_reportable);
         found.map_or_else(EngineLoad::default, |(at, load)| {
             let age_ms = u64::try_from((now - *at).as_millis()).unwrap_or(u64::MAX);
             EngineLoad { age_ms, ..*load }
@@ -163,34 +163,34 @@
 
     fn report(&self, now: Duration, load: EngineLoad) {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
-        if reports.last().is_some_and(|(at, _)| now < *at + REPORT_INTERVAL) {
+        if reports.last().is_some_and(|(at, _)| now < *at + LOAD_REPORT_INTERVAL) {
             return;
         }
-        if reports.len() >= MAX_REPORTS {
-            reports.drain(..MAX_REPORTS / 2);
+        if reports.len() >= MAX_LOAD_REPORTS {
+            reports.drain(..MAX_LOAD_REPORTS / 2);
         }
         reports.push((now, load));
     }
 }
 
-impl TrackTable {
-    fn forget_oldest(&mut self) {
-        if self.tracks.len() <= MAX_TRACKS {
+impl RequestTable {
+    fn evict_oldest(&mut self) {
+        if self.requests.len() <= MAX_TRACKED_REQUESTS {
             return;
         }
-        let oldest = self.tracks.keys().next().copied();
-        let Some(track) = oldest.and_then(|number| self.tracks.remove(&number)) else { return };
-        if self.numbers.get(&track.id) == Some(&track.number) {
-            self.numbers.remove(&track.id);
+        let oldest = self.requests.keys().next().copied();
+        let Some(tracked) = oldest.and_then(|number| self.requests.remove(&number)) else { return };
+        if self.number_by_id.get(&tracked.id) == Some(&tracked.number) {
+            self.number_by_id.remove(&tracked.id);
         }
     }
 }
 
-/// The batch and the requests in it; owned by the engine's thread.
+/// The batch and all open requests; owned by the engine thread.
 struct EngineCore {
     shared: Arc<EngineShared>,
     queue: BatchQueue,
-    open: SortedTable<u64, Arc<RequestTrack>>,
+    open: SortedTable<u64, Arc<TrackedRequest>>,
 }
 
 impl EngineCore {
@@ -201,7 +201,7 @@
 
     fn run(mut self, inputs: &Receiver<EngineInput>) {
         loop {
-            if !self.take_inputs(inputs) {
+            if !self.receive_inputs(inputs) {
                 break;
             }
             if self.open.is_empty() {
@@ -211,19 +211,19 @@
             }
         }
         for input in inputs.try_iter() {
-            let _ = self.take(input);
+            let _ = self.process(input);
         }
-        for track in self.open.values() {
-            track.finish(TrackEnd::Stopped);
+        for tracked in self.open.values() {
+            tracked.finish(RequestEnd::Stopped);
         }
     }
 
-    /// Takes what has come, waiting only when there is no work; `false` when told to stop.
-    fn take_inputs(&mut self, inputs: &Receiver<EngineInput>) -> bool {
+    /// Processes pending inputs, and waits for one only if idle; returns `false` on a stop.
+    fn receive_inputs(&mut self, inputs: &Receiver<EngineInput>) -> bool {
         if self.open.is_empty() {
-            match inputs.recv_timeout(IDLE_WAIT) {
+            match inputs.recv_timeout(IDLE_POLL_INTERVAL) {
                 Ok(input) => {
-                    if !self.take(input) {
+                    if !self.process(input) {
                         return false;
                     }
                 }
@@ -232,22 +232,22 @@
             }
         }
         for input in inputs.try_iter() {
-            if !self.take(input) {
+            if !self.process(input) {
                 return false;
             }
         }
         true
     }
 
-    fn take(&mut self, input: EngineInput) -> bool {
+    fn process(&mut self, input: EngineInput) -> bool {
         match input {
-            EngineInput::Submit(track) => {
-                self.queue.submit(track.number, track.priority, track.tokens);
-                self.open.insert(track.number, track);
+            EngineInput::Submit(tracked) => {
+                self.queue.submit(tracked.number, tracked.priority, tracked.tokens);
+                self.open.insert(tracked.number, tracked);
             }
             EngineInput::Cancel(number) => {
                 if self.queue.cancel(number) {
-                    self.close(number, TrackEnd::Cancelled);
+                    self.close(number, RequestEnd::Cancelled);
                 }
             }
             EngineInput::Stop => return false,
@@ -255,36 +255,37 @@
         true
     }
 
-    /// One step: reads new prompts, takes its time, and hands out the tokens.
+    /// Runs one step: prefills new prompts, sleeps for the step time and emits the tokens.
     fn step(&mut self) {
-        let begun = Instant::now();
+        let step_start = Instant::now();
         let step = self.queue.step();
         let now = self.shared.now();
-        let mut unread = 0;
+        let mut uncached_tokens = 0;
         for number in &step.started {
-            if let Some(track) = self.open.get(number) {
-                unread += self.shared.cache().read_prompt(now, &track.prompt);
+            if let Some(tracked) = self.open.get(number) {
+                uncached_tokens += self.shared.cache().read_prompt(now, &tracked.prompt);
             }
         }
         let settings = &self.shared.settings;
-        let prefill = settings.prefill_per_token * u32::try_from(unread).unwrap_or(u32::MAX);
+        let prefill =
+            settings.prefill_per_token * u32::try_from(uncached_tokens).unwrap_or(u32::MAX);
         std::thread::sleep(settings.step + prefill);
         for token in &step.decoded {
-            if let Some(track) = self.open.get(&token.number) {
-                track.add_token();
+            if let Some(tracked) = self.open.get(&token.number) {
+                tracked.add_token();
             }
             if token.last {
-                self.close(token.number, TrackEnd::Whole);
+                self.close(token.number, RequestEnd::Whole);
             }
         }
-        self.report(begun.elapsed());
+        self.report(step_start.elapsed());
     }
 
-    fn close(&mut self, number: u64, end: TrackEnd) {
-        let Some(track) = self.open.remove(&number) else { return };
-        let state = if end == TrackEnd::Whole { RunState::Finished } else { RunState::Cancelled };
-        self.shared.runs.end(track.run, state);
-        track.finish(end);
+    fn close(&mut self, number: u64, end: RequestEnd) {
+        let Some(tracked) = self.open.remove(&number) else { return };
+        let state = if end == RequestEnd::Whole { RunState::Finished } else { RunState::Cancelled };
+        self.shared.runs.end(tracked.run, state);
+        tracked.finish(end);
     }
 
     fn report(&self, step: Duration) {
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,17 +1,17 @@
-//! Orders to an engine, and what fencing numbers do to them.
+//! Orders to an engine and the check of their fencing numbers.
 
 use std::time::Duration;
 
 use briartray_model::{plain_choice, plain_value};
 
 plain_choice! {
-    /// What an order changes.
+    /// Kind of an order.
     pub enum OrderKind {
         /// Load a model.
         LoadModel,
         /// Load an adapter.
         LoadAdapter,
-        /// Change to another version.
+        /// Switch to another version.
         SetVersion,
         /// Change the role.
         SetRole,
@@ -19,67 +19,67 @@
 }
 
 plain_value! {
-    /// One order.
+    /// An order to the engine.
     pub struct EngineOrder {
-        /// What it changes.
+        /// Kind of the change.
         pub kind: OrderKind,
-        /// New model, adapter, version or role.
+        /// Name of the new model, adapter, version or role.
         pub name: String,
-        /// Fencing number of who gives the order.
+        /// Fencing number of the sender.
         #[serde(default)]
         pub fencing: u64,
     }
 
-    /// An order that is carried out or was.
-    pub struct TakenOrder {
+    /// An accepted order, in progress or completed.
+    pub struct AcceptedOrder {
         /// The order.
         pub order: EngineOrder,
-        /// Since when the change is in force, in milliseconds of the engine's life.
+        /// Completion time in milliseconds since the engine started; `None` while in progress.
         pub ready_ms: Option<u64>,
     }
 }
 
-/// The orders that one engine took.
+/// Orders accepted by an engine.
 #[derive(Debug)]
 pub struct OrderBook {
     checks_fencing: bool,
-    highest: u64,
-    taken: Vec<TakenOrder>,
+    highest_fencing: u64,
+    accepted: Vec<AcceptedOrder>,
 }
 
 impl OrderBook {
-    /// An engine without orders.
+    /// Creates an empty book; `checks_fencing` refuses orders with an outdated number.
     pub fn new(checks_fencing: bool) -> Self {
-        Self { checks_fencing, highest: 0, taken: Vec::new() }
+        Self { checks_fencing, highest_fencing: 0, accepted: Vec::new() }
     }
 
-    /// Takes an order; returns its position.
+    /// Accepts an order and returns its position.
     ///
     /// # Errors
-    /// The highest fencing number seen, when the engine checks it and the order's is lower.
-    pub fn take(&mut self, order: &EngineOrder) -> Result<usize, u64> {
-        if self.checks_fencing && order.fencing < self.highest {
-            return Err(self.highest);
+    /// The highest fencing number seen, if numbers are checked and that of the order is lower.
+    pub fn accept(&mut self, order: &EngineOrder) -> Result<usize, u64> {
+        if self.checks_fencing && order.fencing < self.highest_fencing {
+            return Err(self.highest_fencing);
         }
-        self.highest = self.highest.max(order.fencing);
-        self.taken.push(TakenOrder { order: order.clone(), ready_ms: None });
-        Ok(self.taken.len() - 1)
+        self.highest_fencing = self.highest_fencing.max(order.fencing);
+        self.accepted.push(AcceptedOrder { order: order.clone(), ready_ms: None });
+        Ok(self.accepted.len() - 1)
     }
 
-    /// Notes that the order at `position` is in force.
+    /// Marks the order at `position` as completed at `now`.
     pub fn finish(&mut self, position: usize, now: Duration) {
-        if let Some(taken) = self.taken.get_mut(position) {
-            taken.ready_ms = Some(u64::try_from(now.as_millis()).unwrap_or(u64::MAX));
+        if let Some(accepted) = self.accepted.get_mut(position) {
+            accepted.ready_ms = Some(u64::try_from(now.as_millis()).unwrap_or(u64::MAX));
         }
     }
 
-    /// Whether no order is being carried out.
-    pub fn is_settled(&self) -> bool {
-        self.taken.iter().all(|taken| taken.ready_ms.is_some())
+    /// Returns whether no order is in progress.
+    pub fn is_idle(&self) -> bool {
+        self.accepted.iter().all(|accepted| accepted.ready_ms.is_some())
     }
 
-    /// Every order taken, in the order of arrival.
-    pub fn taken(&self) -> &[TakenOrder] {
-        &self.taken
+    /// Returns all accepted orders by arrival.
+    pub fn accepted(&self) -> &[AcceptedOrder] {
+        &self.accepted
     }
 }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -1,45 +1,45 @@
-//! What a stand-in engine is told.
+//! Settings of the stand-in engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::fault::FaultPlan;
 
-/// Settings of one stand-in engine, built step by step.
+/// Settings of a stand-in engine, with builder methods.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Time of one step, which yields one token for each running request.
+    /// Duration of a step, which generates one token for each running request.
     pub step: Duration,
-    /// Requests that one step can hold.
+    /// Maximum number of requests in the batch.
     pub batch: usize,
-    /// Added to a step for each prompt token that is not cached.
+    /// Time added to a step for each prompt token that is not cached.
     pub prefill_per_token: Duration,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How late cache events are published.
+    /// Delay of cache events.
     pub event_delay: Duration,
-    /// Share of cache events that are never published.
+    /// Share of cache events that are lost, from 0 to 1.
     pub event_loss: f64,
-    /// How old a load report is.
+    /// Minimum age of a load report.
     pub load_lag: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
-    /// Time that an order to load takes.
+    /// Simulated load time of an order, in addition to the download of weights.
     pub load_time: Duration,
-    /// Weight store that orders to load read from.
+    /// Weight store that orders download from, if any.
     pub weights: Option<SocketAddr>,
-    /// Faults from the start.
+    /// Initial fault plan.
     pub faults: FaultPlan,
-    /// Prompt of a request that ends the whole process a moment after it has begun to run.
+    /// Prompt that crashes the whole process shortly after its request was submitted.
     pub fatal_prompt: Option<String>,
-    /// Seed of what is drawn by chance.
+    /// Seed of the lost cache events.
     pub seed: u64,
 }
 
 impl EngineSettings {
-    /// An engine that listens on `listen`, with the defaults.
+    /// Creates default settings for an engine that listens on `listen`.
     pub fn new(listen: SocketAddr) -> Self {
         Self {
             listen,
@@ -59,35 +59,35 @@
         }
     }
 
-    /// Sets the time of one step.
+    /// Sets the duration of a step.
     #[must_use]
     pub fn step(mut self, step: Duration) -> Self {
         self.step = step;
         self
     }
 
-    /// Sets how many requests one step can hold.
+    /// Sets the maximum number of requests in the batch.
     #[must_use]
     pub fn batch(mut self, batch: usize) -> Self {
         self.batch = batch;
         self
     }
 
-    /// Sets what each prompt token that is not cached adds to a step.
+    /// Sets the time that each prompt token that is not cached adds to a step.
     #[must_use]
     pub fn prefill_per_token(mut self, cost: Duration) -> Self {
         self.prefill_per_token = cost;
         self
     }
 
-    /// Sets how many blocks the prefix cache holds.
+    /// Sets the capacity of the prefix cache, in blocks.
     #[must_use]
     pub fn cache_blocks(mut self, blocks: usize) -> Self {
         self.cache_blocks = blocks;
         self
     }
 
-    /// Sets how late cache events come and what share of them never comes.
+    /// Sets the delay of cache events and the share of them that is lost, from 0 to 1.
     #[must_use]
     pub fn cache_events(mut self, delay: Duration, loss: f64) -> Self {
         self.event_delay = delay;
@@ -95,21 +95,21 @@
         self
     }
 
-    /// Sets how old a load report is.
+    /// Sets the minimum age of a load report.
     #[must_use]
     pub fn load_lag(mut self, lag: Duration) -> Self {
         self.load_lag = lag;
         self
     }
 
-    /// Sets whether orders with an old fencing number are refused.
+    /// Sets whether orders with an outdated fencing number are refused.
     #[must_use]
     pub fn checks_fencing(mut self, checks: bool) -> Self {
         self.checks_fencing = checks;
         self
     }
 
-    /// Sets the time of an order to load, and the weight store it reads from.
+    /// Sets the simulated load time of an order and the weight store to download from.
     #[must_use]
     pub fn loading(mut self, time: Duration, weights: Option<SocketAddr>) -> Self {
         self.load_time = time;
@@ -117,21 +117,21 @@
         self
     }
 
-    /// Sets the faults from the start.
+    /// Sets the initial fault plan.
     #[must_use]
     pub fn faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Sets the prompt that ends the process.
+    /// Sets the prompt that crashes the process.
     #[must_use]
     pub fn fatal_prompt(mut self, prompt: Option<String>) -> Self {
         self.fatal_prompt = prompt;
         self
     }
 
-    /// Sets the seed of what is drawn by chance.
+    /// Sets the seed of the lost cache events.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
--- a/crates/standin/src/engine/track.rs
+++ b/crates/standin/src/engine/tracked.rs
@@ -1,4 +1,4 @@
-//! One request's progress, shared between the engine's thread and those that read the answer.
+//! Progress of a request, shared between the engine thread and the readers of its answer.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use briartray_model::plain_choice;
 
 plain_choice! {
-    /// How a request ended.
-    pub enum TrackEnd {
-        /// All of its tokens were made.
+    /// End state of a request.
+    pub enum RequestEnd {
+        /// All of its tokens were generated.
         Whole,
         /// It was cancelled.
         Cancelled,
@@ -17,16 +17,16 @@
     }
 }
 
-/// Tokens made so far, and the end.
+/// Number of tokens generated so far, and the end state.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub(super) struct TrackState {
-    pub(super) made: u32,
-    pub(super) end: Option<TrackEnd>,
+pub(super) struct RequestProgress {
+    pub(super) generated: u32,
+    pub(super) end: Option<RequestEnd>,
 }
 
-/// One request inside the engine.
+/// A submitted request and its progress.
 #[derive(Debug)]
-pub(super) struct RequestTrack {
+pub(super) struct TrackedRequest {
     pub(super) number: u64,
     pub(super) id: String,
     pub(super) model: String,
@@ -35,11 +35,11 @@
     pub(super) priority: u8,
     pub(super) chat: bool,
     pub(super) run: u64,
-    state: Mutex<TrackState>,
+    state: Mutex<RequestProgress>,
     changed: Condvar,
 }
 
-impl RequestTrack {
+impl TrackedRequest {
     pub(super) fn new(number: u64, run: u64, id: &str, prompt: &str) -> Self {
         Self {
             number,
@@ -55,33 +55,33 @@
         }
     }
 
-    /// Adds one token.
+    /// Counts a generated token and wakes the readers.
     pub(super) fn add_token(&self) {
-        self.lock().made += 1;
+        self.lock().generated += 1;
         self.changed.notify_all();
     }
 
-    /// Sets the end, unless there is one.
-    pub(super) fn finish(&self, end: TrackEnd) {
+    /// Sets the end state, unless it is already set, and wakes the readers.
+    pub(super) fn finish(&self, end: RequestEnd) {
         self.lock().end.get_or_insert(end);
         self.changed.notify_all();
     }
 
-    /// The state once it has more than `seen` tokens or an end, or after `limit`.
-    pub(super) fn wait_beyond(&self, seen: u32, limit: Duration) -> TrackState {
-        let waiting = |state: &mut TrackState| state.made <= seen && state.end.is_none();
+    /// Waits for more than `seen` tokens or the end, for at most `limit`; returns the progress.
+    pub(super) fn wait_for_token(&self, seen: u32, limit: Duration) -> RequestProgress {
+        let waiting = |state: &mut RequestProgress| state.generated <= seen && state.end.is_none();
         let guard = self.changed.wait_timeout_while(self.lock(), limit, waiting);
         *guard.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    /// The state once there is an end, or after `limit`.
-    pub(super) fn wait_end(&self, limit: Duration) -> TrackState {
-        let waiting = |state: &mut TrackState| state.end.is_none();
+    /// Waits for the end, for at most `limit`; returns the progress.
+    pub(super) fn wait_end(&self, limit: Duration) -> RequestProgress {
+        let waiting = |state: &mut RequestProgress| state.end.is_none();
         let guard = self.changed.wait_timeout_while(self.lock(), limit, waiting);
         *guard.unwrap_or_else(PoisonError::into_inner).0
     }
 
-    fn lock(&self) -> MutexGuard<'_, TrackState> {
+    fn lock(&self) -> MutexGuard<'_, RequestProgress> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a stand-in shows on purpose, each for a share of the requests, drawn from a seed.
+//! Fault injection for stand-ins: each fault affects a share of the requests, drawn from a seed.
 
 use std::str::FromStr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,48 +8,48 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Length of a fault that names none, in milliseconds.
+/// Duration of a fault whose rule sets none, in milliseconds.
 const DEFAULT_FAULT_MS: u64 = 200;
 
 plain_choice! {
-    /// What goes wrong.
+    /// Kind of an injected fault.
     pub enum FaultKind {
-        /// The answer starts late.
+        /// The request is handled only after a delay.
         Late,
-        /// The answer belongs to another request.
+        /// The answer is that of another request.
         Crossed,
-        /// Pieces of the answer come twice.
+        /// Parts of the answer are sent twice; a plain service runs the request twice.
         Doubled,
-        /// The connection closes before the answer is whole.
+        /// The connection is closed before the answer is complete.
         Cut,
-        /// The connection stays open and brings nothing more.
+        /// The connection stalls before the answer is complete, and is then closed.
         Silent,
-        /// Every piece of the answer is slow.
+        /// Each part of the answer is delayed.
         Slow,
-        /// The request is refused and not run.
+        /// The request is refused and does not run.
         Refuse,
     }
 }
 
 plain_value! {
-    /// One fault and how often it shows.
+    /// One kind of fault and how often it is injected.
     pub struct FaultRule {
-        /// What goes wrong.
+        /// Kind of the fault.
         pub kind: FaultKind,
-        /// Share of requests, from 0 to 1.
+        /// Share of the requests that it affects, from 0 to 1.
         pub share: f64,
-        /// How long it lasts, where that has a meaning.
+        /// Duration in milliseconds, for the kinds that have one.
         #[serde(default = "default_fault_ms")]
         pub ms: u64,
     }
 
-    /// All faults of one stand-in.
+    /// Faults that a stand-in injects.
     #[derive(Default)]
     pub struct FaultPlan {
-        /// Seed of the draws.
+        /// Seed of the random draws.
         #[serde(default)]
         pub seed: u64,
-        /// The faults.
+        /// Rules, each drawn independently.
         #[serde(default)]
         pub faults: Vec<FaultRule>,
     }
@@ -62,13 +62,13 @@
 impl FromStr for FaultRule {
     type Err = &'static str;
 
-    /// Reads `KIND:SHARE` or `KIND:SHARE:MS`.
+    /// Parses `KIND:SHARE` or `KIND:SHARE:MS`.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const USAGE: &str = "write KIND:SHARE or KIND:SHARE:MS, as in late:0.1:200";
+        const USAGE: &str = "expected KIND:SHARE or KIND:SHARE:MS, for example late:0.1:200";
         let mut parts = text.split(':');
         let kind = parts.next().ok_or(USAGE)?;
         let kind = serde_json::from_value(kind.into()).map_err(
-            |_| "use one of late, crossed, doubled, cut, silent, slow, refuse as kind of fault",
+            |_| "unknown kind of fault; use late, crossed, doubled, cut, silent, slow or refuse",
         )?;
         let share: f64 = parts.next().and_then(|share| share.parse().ok()).ok_or(USAGE)?;
         let ms = match parts.next() {
@@ -82,43 +82,43 @@
     }
 }
 
-/// Faults drawn for one request.
+/// Faults to inject into one request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct DrawnFaults {
     rules: Vec<FaultRule>,
 }
 
 impl DrawnFaults {
-    /// Whether `kind` was drawn.
+    /// Returns whether `kind` was drawn.
     pub fn has(&self, kind: FaultKind) -> bool {
         self.rules.iter().any(|rule| rule.kind == kind)
     }
 
-    /// How long `kind` lasts; zero when it was not drawn.
-    pub fn time(&self, kind: FaultKind) -> Duration {
+    /// Returns the duration of `kind`, zero if it was not drawn.
+    pub fn duration(&self, kind: FaultKind) -> Duration {
         let rule = self.rules.iter().find(|rule| rule.kind == kind);
         rule.map_or(Duration::ZERO, |rule| Duration::from_millis(rule.ms))
     }
 }
 
-/// Draws faults; the plan may change while requests run.
+/// Draws the faults of each request; the plan can be replaced while requests run.
 #[derive(Debug)]
-pub struct FaultSwitch {
+pub struct FaultInjector {
     state: Mutex<(FaultPlan, ChaCha8Rng)>,
 }
 
-impl FaultSwitch {
-    /// A switch that draws from `plan`.
+impl FaultInjector {
+    /// Creates an injector with `plan`.
     pub fn new(plan: &FaultPlan) -> Self {
-        Self { state: Mutex::new(start_plan(plan)) }
+        Self { state: Mutex::new(seeded_plan(plan)) }
     }
 
-    /// Draws from another plan from now on.
-    pub fn change(&self, plan: &FaultPlan) {
-        *self.lock() = start_plan(plan);
+    /// Replaces the plan and restarts the random draws from its seed.
+    pub fn set_plan(&self, plan: &FaultPlan) {
+        *self.lock() = seeded_plan(plan);
     }
 
-    /// The faults of the next request.
+    /// Draws the faults of the next request.
     pub fn draw(&self) -> DrawnFaults {
         let mut state = self.lock();
         let (plan, generator) = &mut *state;
@@ -136,6 +136,6 @@
     }
 }
 
-fn start_plan(plan: &FaultPlan) -> (FaultPlan, ChaCha8Rng) {
+fn seeded_plan(plan: &FaultPlan) -> (FaultPlan, ChaCha8Rng) {
     (plan.clone(), ChaCha8Rng::seed_from_u64(plan.seed))
 }
--- a/crates/standin/src/group_host/mod.rs
+++ b/crates/standin/src/group_host/mod.rs
@@ -1,6 +1,8 @@
-//! An endpoint that serves in groups and follows orders, as the platform's published protocol
-//! describes it: joins under rising epochs, one head that opens, staged weights, a stall when a
-//! member is missing. No sockets and no clock; [`HostModel::tick`] brings it up to a time.
+//! An endpoint that serves in groups and follows the orders of the platform's published protocol.
+//!
+//! Members join groups with increasing epochs, only the head of a group opens it, and weights can be
+//! staged in advance. [`HostModel`] is the state machine without sockets or a clock;
+//! [`HostModel::tick`] advances it to a given time. [`HostServer`] serves it on a socket.
 
 mod model;
 mod server;
--- a/crates/standin/src/group_host/model.rs
+++ b/crates/standin/src/group_host/model.rs
@@ -1,4 +1,4 @@
-//! The state of one endpoint and what orders do to it.
+//! State machine of an endpoint that serves in groups, driven by orders and time.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use briartray_model::TimePoint;
 use briartray_model::names::{DomainName, GroupId, IncarnationId, ServiceName, ZoneName};
 
-/// Time to join a group whose model is that of the last one.
-const REJOIN: Duration = Duration::from_millis(200);
+/// Time to join a group with the model of the previous group, which is still loaded.
+const REJOIN_TIME: Duration = Duration::from_millis(200);
 
-/// Where an endpoint is and what it serves.
+/// Identity and location of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostPlace {
-    /// Its present life.
+    /// Id of its current incarnation.
     pub id: IncarnationId,
-    /// Service it serves.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: String,
     /// Its availability zone.
     pub zone: ZoneName,
@@ -28,39 +28,39 @@
     pub domain: DomainName,
 }
 
-/// Its part in a group.
+/// Membership of an endpoint in a group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Membership {
-    /// The group.
+    /// Id of the group.
     pub group: GroupId,
-    /// The model.
+    /// Model that the group serves.
     pub model: String,
-    /// All members, the head first.
+    /// All members; the first is the head.
     pub members: Vec<IncarnationId>,
-    /// How far it is.
+    /// State of this member.
     pub state: MemberState,
-    /// When the next state follows by itself.
+    /// Time of the next automatic state transition.
     pub until: Option<TimePoint>,
-    /// Whether it loads the weights while it joins; the host keeps them afterwards. One that joins
-    /// with the weights of its last group keeps on the host whatever was staged there.
-    loads: bool,
+    /// Whether joining loads the weights; they then count as staged on the host. A member that
+    /// reuses the weights of its previous group leaves the staged weights unchanged.
+    loads_weights: bool,
 }
 
-/// One endpoint.
+/// State of an endpoint.
 #[derive(Debug, Clone)]
 pub struct HostModel {
-    /// Where it is.
+    /// Its identity and location.
     pub place: HostPlace,
-    /// Its group.
+    /// Its group membership, if any.
     pub member: Option<Membership>,
-    /// Whether it takes no new work.
+    /// Whether it is leaving and takes no new work.
     pub leaving: bool,
-    /// Loads from the weight store that it has begun, by time.
+    /// Start times of its loads from the weight store.
     pub loads: Vec<TimePoint>,
-    /// Factor on its times.
+    /// Reported factor on its durations; 1 is normal speed.
     pub pace: f64,
     staged: Option<String>,
-    loading: Option<(String, TimePoint)>,
+    staging: Option<(String, TimePoint)>,
     last_model: Option<String>,
     highest_epoch: u64,
     highest_term: u64,
@@ -68,7 +68,7 @@
 }
 
 impl HostModel {
-    /// An endpoint that has just started with nothing staged.
+    /// Creates a newly started endpoint without staged weights.
     pub fn new(place: HostPlace) -> Self {
         Self {
             place,
@@ -77,7 +77,7 @@
             loads: Vec::new(),
             pace: 1.0,
             staged: None,
-            loading: None,
+            staging: None,
             last_model: None,
             highest_epoch: 0,
             highest_term: 0,
@@ -85,13 +85,13 @@
         }
     }
 
-    /// The endpoint that starts at `place` on the same host: the weights on the host are kept, all
-    /// else is forgotten.
+    /// Returns the endpoint restarted as `place` on the same host: staged weights are kept, all
+    /// other state is reset.
     pub fn restarted(&self, place: HostPlace) -> Self {
         Self { staged: self.staged.clone(), ..Self::new(place) }
     }
 
-    /// Carries out `order` of a leader of `term`.
+    /// Applies `order` from the leader of `term`; fences orders of earlier terms.
     pub fn order(
         &mut self,
         now: TimePoint,
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Brings it up to `now`; tells whether its report has changed.
+    /// Advances the state to `now`; returns whether the report has changed.
     pub fn tick(&mut self, now: TimePoint) -> bool {
         let before = self.report();
-        if let Some((model, until)) = &self.loading
+        if let Some((model, until)) = &self.staging
             && now >= *until
         {
             self.staged = Some(model.clone());
-            self.loading = None;
+            self.staging = None;
         }
         if let Some(member) = &mut self.member
             && member.until.is_some_and(|until| now >= until)
@@ -135,7 +135,7 @@
             member.state = match member.state {
                 MemberState::Joining => {
                     self.last_model = Some(member.model.clone());
-                    if std::mem::take(&mut member.loads) {
+                    if std::mem::take(&mut member.loads_weights) {
                         self.staged = Some(member.model.clone());
                     }
                     MemberState::Ready
@@ -148,7 +148,7 @@
         before != self.report()
     }
 
-    /// What it tells of itself.
+    /// Returns its full report.
     pub fn report(&self) -> EndpointReport {
         EndpointReport {
             domain: Some(self.place.domain.clone()),
@@ -158,11 +158,11 @@
                 .as_ref()
                 .map(|member| GroupMembership { group: member.group, state: member.state }),
             pace: Some(self.pace),
-            busy: Some(self.loading.is_some()),
+            busy: Some(self.staging.is_some()),
         }
     }
 
-    /// Its next beat, which tells neither its pace nor whether it carries out an order.
+    /// Returns its next heartbeat, whose report omits `pace` and `busy`.
     pub fn heartbeat(&mut self) -> EndpointHeartbeat {
         self.sequence += 1;
         let report = EndpointReport { pace: None, busy: None, ..self.report() };
@@ -197,16 +197,17 @@
         let Some(spec) = engine.model(model) else { return OrderOutcome::Misfit };
         self.highest_epoch = group.0;
         let warm = self.last_model.as_deref() == Some(model);
-        let loads = !warm && self.staged.as_deref() != Some(model);
+        let loads_weights = !warm && self.staged.as_deref() != Some(model);
         let time = if warm {
-            REJOIN
-        } else if loads {
+            REJOIN_TIME
+        } else if loads_weights {
             self.loads.push(now);
             spec.load_time
         } else {
-            // Staging that is under way comes first.
-            let staging = self.loading.as_ref().map_or(Duration::ZERO, |(_, at)| at.since(now));
-            staging + spec.warmup
+            // Staging in progress must finish first.
+            let staging_time =
+                self.staging.as_ref().map_or(Duration::ZERO, |(_, at)| at.since(now));
+            staging_time + spec.warmup
         };
         self.member = Some(Membership {
             group,
@@ -214,16 +215,16 @@
             members: members.to_vec(),
             state: MemberState::Joining,
             until: Some(now.after(time)),
-            loads,
+            loads_weights,
         });
         OrderOutcome::Begun
     }
 
     fn open(&mut self, now: TimePoint, group: GroupId, engine: &EngineModel) -> OrderOutcome {
-        let heads = |member: &Membership| {
+        let is_head = |member: &Membership| {
             member.group == group && member.members.first() == Some(&self.place.id)
         };
-        let head = self.member.as_ref().is_some_and(heads);
+        let head = self.member.as_ref().is_some_and(is_head);
         let Some(member) = self.member.as_mut().filter(|_| head) else {
             return OrderOutcome::Misfit;
         };
@@ -255,7 +256,7 @@
             }
             (MemberState::Closing, CloseMethod::Wait) => OrderOutcome::Holds,
             (MemberState::Ready, _) => {
-                // An opening that is under way is taken back.
+                // Cancels an opening in progress.
                 member.until = None;
                 OrderOutcome::Holds
             }
@@ -268,9 +269,9 @@
         if self.staged.as_deref() == Some(model) {
             return OrderOutcome::Holds;
         }
-        if self.loading.as_ref().is_none_or(|(loading, _)| loading != model) {
+        if self.staging.as_ref().is_none_or(|(staging, _)| staging != model) {
             self.loads.push(now);
-            self.loading = Some((model.to_owned(), now.after(spec.load_time)));
+            self.staging = Some((model.to_owned(), now.after(spec.load_time)));
         }
         OrderOutcome::Begun
     }
--- a/crates/standin/src/group_host/server.rs
+++ b/crates/standin/src/group_host/server.rs
@@ -1,8 +1,8 @@
-//! A stand-in endpoint on a real socket: takes orders, tells its state, beats, and answers
-//! requests as a head of a group or as a plain service.
+//! A stand-in endpoint on a socket: it applies orders, reports its state, sends heartbeats, and
+//! answers requests as the head of a group or as a plain service.
 //!
-//! A request whose body is the fatal one crashes it: all of its connections are reset, and it starts
-//! again a moment later at the same address under a new id.
+//! A request with the fatal body crashes it: all of its connections are reset, and it restarts after
+//! `RESTART_DELAY` at the same address with a new incarnation id.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,42 +29,42 @@
 
 use super::{HostModel, HostPlace};
 
-/// Time between two looks at its own state.
-const TICK: Duration = Duration::from_millis(10);
+/// Time between two ticks of the state machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time between two beats.
-const BEAT: Duration = Duration::from_millis(400);
+/// Time between two heartbeats without a change.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time between two events of a stream.
-const EVENT_PAUSE: Duration = Duration::from_millis(20);
+const EVENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for one try of a beat.
-const BEAT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of one attempt to send a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time from the beginning of a fatal request's run to the crash.
-const CRASH_AFTER: Duration = Duration::from_millis(30);
+/// Time from the start of a fatal request to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// Time from a crash to the next start.
-const RESTART_AFTER: Duration = Duration::from_millis(1_000);
+/// Time from a crash to the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(1_000);
 
-/// What a stand-in endpoint is.
+/// Settings of a stand-in endpoint.
 #[derive(Debug, Clone)]
 pub struct HostSettings {
-    /// Its first life; a later one has the number of its start behind it.
+    /// Id of its first incarnation; later ids append `-2`, `-3` and so on.
     pub id: String,
-    /// Service it serves.
+    /// Service that it belongs to.
     pub service: String,
-    /// Its availability zone, which is its fabric domain as well.
+    /// Its availability zone; also used as its fabric domain.
     pub zone: String,
-    /// How long each life is cold, where it is at all.
+    /// Time for which each incarnation reports that it is cold; zero for none.
     pub cold: Duration,
-    /// Engine, for one that serves in groups.
+    /// Engine of an endpoint that serves in groups; `None` for a plain service.
     pub engine: Option<EngineModel>,
-    /// Control hosts to announce itself to.
+    /// Control hosts to send heartbeats to.
     pub control: Vec<SocketAddr>,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u64,
-    /// Body of a request that crashes it.
+    /// Request body that crashes it.
     pub fatal_body: Option<String>,
 }
 
@@ -73,22 +73,22 @@
 pub struct HostServer {
     address: SocketAddr,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
-    record: HostShared,
+    shared: HostShared,
 }
 
-/// What a stand-in endpoint shares with the test that started it.
+/// State shared between the thread of the endpoint and its [`HostServer`] handle.
 #[derive(Debug, Clone, Default)]
 struct HostShared {
     /// Ids of the requests that it ran.
     runs: Arc<Mutex<Vec<String>>>,
-    /// The limit that its answers name.
+    /// Limit advertised in its answers.
     limit: Arc<Mutex<Option<String>>>,
-    /// Whether it answers requests with a failure of its own.
+    /// Whether it answers every request with an internal server error.
     fails: Arc<AtomicBool>,
 }
 
 impl HostShared {
-    fn note_run(&self, id: &str) {
+    fn record_run(&self, id: &str) {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner).push(id.to_owned());
     }
 
@@ -105,41 +105,41 @@
     /// Starts an endpoint on a free loopback port.
     ///
     /// # Errors
-    /// What the system said of the port or the thread.
+    /// The I/O error if the port cannot be bound or the thread cannot be started.
     pub fn start(settings: HostSettings) -> std::io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let (stop, stopped) = tokio::sync::oneshot::channel();
-        let record = HostShared::default();
-        let shared = record.clone();
+        let shared = HostShared::default();
+        let thread_shared = shared.clone();
         std::thread::Builder::new()
             .name("stand-in-host".to_owned())
-            .spawn(move || live(listener, &settings, &shared, stopped))?;
-        Ok(Self { address, stop: Some(stop), record })
+            .spawn(move || run_incarnations(listener, &settings, &thread_shared, stopped))?;
+        Ok(Self { address, stop: Some(stop), shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ids of the requests that it ran.
+    /// Returns the ids of the requests that it ran.
     pub fn runs(&self) -> Vec<String> {
-        self.record.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.shared.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Fails every request from now on, as a plain service whose store is gone.
+    /// Makes it fail every later request, as a plain service does whose database is lost.
     pub fn fail(&self) {
-        self.record.fails.store(true, Ordering::SeqCst);
+        self.shared.fails.store(true, Ordering::SeqCst);
     }
 
-    /// Names `limit` in its answers from now on; none without one.
+    /// Sets the limit that later answers advertise; `None` advertises none.
     pub fn name_limit(&self, limit: Option<&str>) {
-        let mut named = self.record.limit.lock().unwrap_or_else(PoisonError::into_inner);
-        *named = limit.map(str::to_owned);
+        let mut advertised = self.shared.limit.lock().unwrap_or_else(PoisonError::into_inner);
+        *advertised = limit.map(str::to_owned);
     }
 
-    /// Ends it at once, in the middle of whatever it does.
+    /// Stops it immediately, without completing open requests.
     pub fn kill(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
@@ -147,41 +147,49 @@
     }
 }
 
-/// Why one life of an endpoint is over.
-enum LifeEnd {
+/// Why an incarnation of the endpoint ended.
+enum IncarnationEnd {
     Crashed,
     Stopped,
 }
 
-/// Serves one life after the other until stopped.
-fn live(
+/// Runs incarnations, each after the crash of the previous one, until stopped.
+fn run_incarnations(
     mut listener: std::net::TcpListener,
     settings: &HostSettings,
-    record: &HostShared,
+    shared: &HostShared,
     mut stopped: tokio::sync::oneshot::Receiver<()>,
 ) {
     let Ok(address) = listener.local_addr() else { return };
-    for life in 1.. {
-        let id = if life == 1 { settings.id.clone() } else { format!("{}-{life}", settings.id) };
+    for incarnation in 1.. {
+        let id = if incarnation == 1 {
+            settings.id.clone()
+        } else {
+            format!("{}-{incarnation}", settings.id)
+        };
         let settings = HostSettings { id, ..settings.clone() };
-        match serve_life(listener, settings, record.clone(), &mut stopped) {
-            Ok(LifeEnd::Crashed) => std::thread::sleep(RESTART_AFTER),
-            Ok(LifeEnd::Stopped) | Err(_) => return,
+        match serve_incarnation(listener, settings, shared.clone(), &mut stopped) {
+            Ok(IncarnationEnd::Crashed) => std::thread::sleep(RESTART_DELAY),
+            Ok(IncarnationEnd::Stopped) | Err(_) => return,
         }
         match std::net::TcpListener::bind(address) {
             Ok(bound) => listener = bound,
-            Err(error) => return log::error!("{address} cannot be had again: {error}"),
+            Err(error) => {
+                return log::error!(
+                    "cannot bind {address} again after a crash: {error}; the endpoint stays down"
+                );
+            }
         }
     }
 }
 
-/// Serves one life; its runtime ends with it, and so does every connection.
-fn serve_life(
+/// Runs one incarnation; dropping its runtime at the end closes all connections.
+fn serve_incarnation(
     listener: std::net::TcpListener,
     settings: HostSettings,
-    record: HostShared,
+    shared: HostShared,
     stopped: &mut tokio::sync::oneshot::Receiver<()>,
-) -> std::io::Result<LifeEnd> {
+) -> std::io::Result<IncarnationEnd> {
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -189,9 +197,9 @@
     let crash = Rc::new(Notify::new());
     let end = local.block_on(&runtime, async {
         tokio::select! {
-            () = serve(listener, address, settings, record, Rc::clone(&crash)) => LifeEnd::Stopped,
-            () = crash.notified() => LifeEnd::Crashed,
-            _ = stopped => LifeEnd::Stopped,
+            () = serve(listener, address, settings, shared, Rc::clone(&crash)) => IncarnationEnd::Stopped,
+            () = crash.notified() => IncarnationEnd::Crashed,
+            _ = stopped => IncarnationEnd::Stopped,
         }
     });
     Ok(end)
@@ -201,7 +209,7 @@
     model: RefCell<HostModel>,
     settings: HostSettings,
     started: Instant,
-    record: HostShared,
+    shared: HostShared,
     crash: Rc<Notify>,
 }
 
@@ -215,7 +223,7 @@
     listener: std::net::TcpListener,
     address: SocketAddr,
     settings: HostSettings,
-    record: HostShared,
+    shared: HostShared,
     crash: Rc<Notify>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
@@ -230,33 +238,33 @@
         model: RefCell::new(HostModel::new(place)),
         settings,
         started: Instant::now(),
-        record,
+        shared,
         crash,
     });
     let limits = ServerLimits { connections: 256, idle: Duration::from_secs(20) };
     let serving = Rc::clone(&state);
     let _server =
         HttpServer::start(listener, limits, move |request| handle(Rc::clone(&serving), request));
-    announce(&state).await;
+    send_heartbeats(&state).await;
 }
 
-/// Beats at a steady pace and after every change.
-async fn announce(state: &HostState) {
-    let mut beat_at = Instant::now();
+/// Sends heartbeats at a fixed interval and after every change of the report.
+async fn send_heartbeats(state: &HostState) {
+    let mut next_heartbeat = Instant::now();
     let mut next = 0;
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let changed = state.model.borrow_mut().tick(state.now());
-        if !changed && Instant::now() < beat_at {
+        if !changed && Instant::now() < next_heartbeat {
             continue;
         }
-        beat_at = Instant::now() + BEAT;
+        next_heartbeat = Instant::now() + HEARTBEAT_INTERVAL;
         let cold = state.settings.cold.saturating_sub(state.started.elapsed());
         let cold_ms = u64::try_from(cold.as_millis()).unwrap_or(u64::MAX);
         let heartbeat = EndpointHeartbeat { cold_ms, ..state.model.borrow_mut().heartbeat() };
         for _ in 0..state.settings.control.len() {
             let control = state.settings.control[next % state.settings.control.len()];
-            if send_beat(control, &heartbeat).await {
+            if send_heartbeat(control, &heartbeat).await {
                 break;
             }
             next += 1;
@@ -264,8 +272,10 @@
     }
 }
 
-/// Whether the beat was acknowledged, by `control` or by the host that it names.
-async fn send_beat(control: SocketAddr, heartbeat: &EndpointHeartbeat) -> bool {
+/// Sends a heartbeat to `control` and follows its redirects to the leader.
+///
+/// Returns whether the heartbeat was acknowledged.
+async fn send_heartbeat(control: SocketAddr, heartbeat: &EndpointHeartbeat) -> bool {
     let mut address = control;
     for _ in 0..3 {
         let request = beat_request(&address.to_string(), heartbeat);
@@ -273,7 +283,7 @@
             let exchange = EndpointConnection::open(address).await?.send(request).await?;
             exchange.whole().await
         };
-        let Ok(Ok((head, _, _))) = tokio::time::timeout(BEAT_TIMEOUT, sent).await else {
+        let Ok(Ok((head, _, _))) = tokio::time::timeout(HEARTBEAT_TIMEOUT, sent).await else {
             return false;
         };
         let named = head.headers.get(header::LOCATION).and_then(|value| value.to_str().ok());
@@ -300,12 +310,12 @@
             let report = report_body(&state.model.borrow().report());
             Response::new(AnswerBody::whole(report.to_string()))
         }
-        ORDER_PATH => take_order(&state, &body),
+        ORDER_PATH => apply_order(&state, &body),
         _ => run(&state, &head, &body),
     }
 }
 
-fn take_order(state: &HostState, body: &[u8]) -> Response<AnswerBody> {
+fn apply_order(state: &HostState, body: &[u8]) -> Response<AnswerBody> {
     let (Some((order, term)), Some(engine)) = (read_order(body), &state.settings.engine) else {
         return status(StatusCode::BAD_REQUEST);
     };
@@ -321,18 +331,18 @@
     }
 }
 
-/// Ends this life in a moment.
+/// Crashes this incarnation after `CRASH_DELAY`.
 fn crash_soon(state: &HostState) {
     let crash = Rc::clone(&state.crash);
     tokio::task::spawn_local(async move {
-        tokio::time::sleep(CRASH_AFTER).await;
+        tokio::time::sleep(CRASH_DELAY).await;
         crash.notify_one();
     });
 }
 
 fn run_service(state: &HostState, head: &ServedHead, fatal: bool) -> Response<AnswerBody> {
-    state.record.note_run(&head.request_id);
-    if state.record.fails() {
+    state.shared.record_run(&head.request_id);
+    if state.shared.fails() {
         let code = StatusCode::INTERNAL_SERVER_ERROR;
         let answer = served_head(code, &head.request_id, true, (1, 0, 6));
         let body = AnswerBody::whole(Vec::new());
@@ -341,7 +351,7 @@
     let body = if fatal {
         crash_soon(state);
         let (sender, body) = AnswerBody::parts();
-        // The answer stays open until the crash.
+        // Keeps the answer open until the crash.
         tokio::task::spawn_local(async move { sender.closed().await });
         body
     } else {
@@ -353,21 +363,21 @@
 
 fn run_engine(state: &HostState, head: &ServedHead, fatal: bool) -> Response<AnswerBody> {
     let member = state.model.borrow().member.clone();
-    let heads = member.as_ref().is_some_and(|member| {
+    let is_head = member.as_ref().is_some_and(|member| {
         member.state == MemberState::Open
             && member.members.first() == Some(&state.model.borrow().place.id)
     });
-    if !heads {
+    if !is_head {
         return not_run(head, StatusCode::MISDIRECTED_REQUEST);
     }
-    state.record.note_run(&head.request_id);
+    state.shared.record_run(&head.request_id);
     if fatal {
         crash_soon(state);
     }
     let (sender, body) = AnswerBody::parts();
     let first = head.last_event.map_or(1, |last| last + 1);
     let last = state.settings.events;
-    let pause = if fatal { CRASH_AFTER * 2 } else { EVENT_PAUSE };
+    let pause = if fatal { CRASH_DELAY * 2 } else { EVENT_INTERVAL };
     tokio::task::spawn_local(async move {
         for id in first..=last {
             tokio::time::sleep(pause).await;
@@ -383,7 +393,7 @@
 
 fn served(state: &HostState, head: &ServedHead) -> http::response::Builder {
     let answer = served_head(StatusCode::OK, &head.request_id, true, (1, 0, 6));
-    match state.record.limit() {
+    match state.shared.limit() {
         Some(limit) => with_limit(answer, &limit),
         None => answer,
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,6 @@
-//! Small stand-ins for what briartray serves, for demonstrations, tests and measurements: a model
-//! engine, a plain service, a weight store, and load against an entry.
+//! Stand-ins for the systems that briartray works with, for demonstrations, tests and
+//! measurements: a model engine, a plain service, a weight store and an endpoint that serves in
+//! groups. It also contains a load generator for an entry.
 
 pub mod engine;
 pub mod fault;
--- a/crates/standin/src/load/audit.rs
+++ b/crates/standin/src/load/audit.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the stand-ins truly ran.
+//! Compares the outcomes that callers got with the run logs of the stand-ins.
 
 use std::net::SocketAddr;
 
@@ -10,39 +10,39 @@
 use crate::text::prompt_digest;
 
 plain_value! {
-    /// What the run logs show.
+    /// Result of the comparison with the run logs.
     #[derive(Default)]
     pub struct RunAudit {
-        /// Runs of requests of this load.
+        /// Logged runs of the requests of this load.
         pub runs: u64,
-        /// Requests without a key that ran more than once, as a safe retry may.
+        /// Requests without a key that ran more than once, which safe retries may cause.
         pub repeated_runs: u64,
-        /// Requests with a key that ran more than once.
+        /// Requests with an idempotency key that ran more than once.
         pub doubled: u64,
-        /// Requests that ran although the caller was told that they were not run.
+        /// Requests that ran although the answer to the caller stated that they did not.
         pub ran_untold: u64,
-        /// Answered requests that no stand-in ran.
+        /// Answered requests without a logged run.
         pub answered_unrun: u64,
     }
 }
 
 impl RunAudit {
-    /// Whether nothing is wrong.
+    /// Returns whether no error was found; `repeated_runs` are not errors.
     pub fn is_clean(&self) -> bool {
         self.doubled + self.ran_untold + self.answered_unrun == 0
     }
 }
 
-/// What one caller was told.
+/// Outcome that one caller got.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct ToldOutcome {
+pub(super) struct ReportedOutcome {
     pub(super) digest: String,
     pub(super) keyed: bool,
     pub(super) answered: bool,
     pub(super) told_not_run: bool,
 }
 
-impl ToldOutcome {
+impl ReportedOutcome {
     pub(super) fn digest_of(prompt: &str) -> String {
         prompt_digest(prompt)
     }
@@ -53,20 +53,22 @@
     runs: Vec<RunRecord>,
 }
 
-/// Why a run of load could not be compared.
+/// Why the outcomes could not be compared.
 #[derive(Debug, Snafu)]
 pub enum AuditError {
-    /// A run log cannot be read.
-    #[snafu(display("run log of {address} cannot be read: {detail}; name a stand-in that runs"))]
+    /// A run log could not be read.
+    #[snafu(display(
+        "cannot read the run log of {address}: {detail}; give the address of a running stand-in"
+    ))]
     Unreadable {
-        /// The stand-in.
+        /// Address of the stand-in.
         address: SocketAddr,
-        /// What went wrong.
+        /// Cause of the failure.
         detail: String,
     },
 }
 
-/// Reads the run logs at `addresses`.
+/// Fetches the run logs of the stand-ins at `addresses`.
 pub(super) fn read_runs(addresses: &[SocketAddr]) -> Result<Vec<RunRecord>, AuditError> {
     let mut runs = Vec::new();
     for address in addresses {
@@ -83,15 +85,15 @@
     serde_json::from_slice(&body).map_err(|error| error.to_string())
 }
 
-/// Sets what callers were told against the runs.
-pub(super) fn compare(told: &[ToldOutcome], runs: &[RunRecord]) -> RunAudit {
+/// Compares the outcomes that callers got with the logged runs.
+pub(super) fn compare(reported: &[ReportedOutcome], runs: &[RunRecord]) -> RunAudit {
     let mut digests: Vec<&str> = runs.iter().map(|run| run.digest.as_str()).collect();
     digests.sort_unstable();
     let mut audit = RunAudit::default();
-    for outcome in told {
-        let from = digests.partition_point(|digest| *digest < outcome.digest.as_str());
-        let to = digests.partition_point(|digest| *digest <= outcome.digest.as_str());
-        let count = to - from;
+    for outcome in reported {
+        let first = digests.partition_point(|digest| *digest < outcome.digest.as_str());
+        let end = digests.partition_point(|digest| *digest <= outcome.digest.as_str());
+        let count = end - first;
         audit.runs += count as u64;
         audit.doubled += u64::from(outcome.keyed && count > 1);
         audit.repeated_runs += u64::from(!outcome.keyed && count > 1);
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One request of a run, and the check of its answer.
+//! Sends a request of the load and checks its answer.
 
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
@@ -10,52 +10,52 @@
 use super::schedule::PlannedCall;
 use crate::text::expected_text;
 
-/// Time to connect.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Outcome of a whole answer that belongs to its request.
+/// Outcome of a complete, correct answer.
 pub(super) const ANSWERED: &str = "answered";
 
-/// Outcome of an answer to another request.
+/// Outcome of an answer that belongs to another request.
 pub(super) const CROSSED: &str = "crossed";
 
-/// Outcome of an answer that looks whole and is not.
+/// Outcome of an incomplete answer that was presented as complete.
 pub(super) const SHORT: &str = "short";
 
-/// Outcome of an answer with pieces that came twice.
+/// Outcome of an answer with repeated parts.
 pub(super) const REPEATED: &str = "repeated";
 
-/// Outcomes that leave the caller without an answer and without a refusal.
-pub(super) const LOST: [&str; 3] = ["no_connection", "cut", "timed_out"];
+/// Outcomes without a complete answer and without a refusal.
+pub(super) const LOST_OUTCOMES: [&str; 3] = ["no_connection", "cut", "timed_out"];
 
-/// What one request came to.
+/// Result of a request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(super) struct CallResult {
-    /// `answered`, the code of a refusal, or what is wrong with the answer.
+    /// `answered`, the code of a refusal, or the kind of failure.
     pub(super) outcome: String,
-    /// Whether the caller was told that the request was not run.
+    /// Whether the answer states that the request was not run.
     pub(super) told_not_run: bool,
-    /// From the planned start to the first piece of the answer.
-    pub(super) first: Option<Duration>,
-    /// Between two pieces of a stream.
+    /// Time from the planned start to the first part of the answer.
+    pub(super) first_token: Option<Duration>,
+    /// Times between consecutive parts of a stream.
     pub(super) gaps: Vec<Duration>,
-    /// From the planned start to the end of the answer.
-    pub(super) whole: Duration,
+    /// Time from the planned start to the end of the answer.
+    pub(super) whole_answer: Duration,
 }
 
 impl CallResult {
-    fn ended(outcome: &str) -> Self {
+    fn with_outcome(outcome: &str) -> Self {
         Self { outcome: outcome.to_owned(), ..Self::default() }
     }
 }
 
-/// Sends one request; times count from `planned`, so that a late start counts as well.
+/// Runs a request; times are measured from `planned`, so that a late start is included.
 pub(super) fn run_call(plan: &LoadPlan, call: &PlannedCall, planned: Instant) -> CallResult {
     let mut result = match send(plan, call) {
         Ok(response) => read_answer(plan, call, response, planned),
-        Err(outcome) => CallResult::ended(outcome),
+        Err(outcome) => CallResult::with_outcome(outcome),
     };
-    result.whole = planned.elapsed();
+    result.whole_answer = planned.elapsed();
     result
 }
 
@@ -66,7 +66,8 @@
     };
     let mut request: RequestBuilder = attohttpc::post(format!("http://{}{path}", plan.address))
         .connect_timeout(CONNECT_TIMEOUT)
-        // The client keeps a thread for a bound on the whole call; streams are bounded below.
+        // A timeout of the whole call would cost a thread per request in this client;
+        // `read_stream` limits streams instead.
         .read_timeout(plan.timeout)
         .header("content-type", "application/json");
     if let Some(team) = &call.team {
@@ -111,13 +112,13 @@
     if status.as_u16() == 200 && kind.starts_with("text/event-stream") {
         return read_stream(plan, call, BufReader::new(reader), planned);
     }
-    let announced =
+    let content_length =
         headers.get("content-length").and_then(|value| value.to_str().ok()?.parse().ok());
     let body = match reader.bytes() {
-        Ok(body) if announced.is_none_or(|length: usize| length == body.len()) => body,
-        Ok(_) => return CallResult::ended("cut"),
+        Ok(body) if content_length.is_none_or(|length: usize| length == body.len()) => body,
+        Ok(_) => return CallResult::with_outcome("cut"),
         Err(error) => {
-            return CallResult::ended(match error.kind() {
+            return CallResult::with_outcome(match error.kind() {
                 attohttpc::ErrorKind::Io(cause) => io_outcome(cause),
                 _ => "cut",
             });
@@ -125,7 +126,7 @@
     };
     let value: Value = serde_json::from_slice(&body).unwrap_or_default();
     if status.as_u16() != 200 {
-        return refused(status.as_u16(), &value);
+        return refusal(status.as_u16(), &value);
     }
     let (text, expected) = match &call.service {
         Some(_) => (value["text"].as_str(), expected_text(&call.prompt, 1)),
@@ -134,18 +135,18 @@
             (text, expected_text(&call.prompt, plan.tokens))
         }
     };
-    let mut result = CallResult::ended(judge(text.unwrap_or_default(), &expected));
-    result.first = Some(planned.elapsed());
+    let mut result = CallResult::with_outcome(classify_answer(text.unwrap_or_default(), &expected));
+    result.first_token = Some(planned.elapsed());
     result
 }
 
-/// Compares an answer that looks whole with the one that belongs to the request.
-fn judge(text: &str, expected: &str) -> &'static str {
+/// Compares an answer that was presented as complete with the expected text.
+fn classify_answer(text: &str, expected: &str) -> &'static str {
     let known: Vec<&str> = expected.split_whitespace().collect();
-    let own = text.split_whitespace().all(|piece| known.contains(&piece));
+    let is_own = text.split_whitespace().all(|piece| known.contains(&piece));
     if text == expected {
         ANSWERED
-    } else if !own {
+    } else if !is_own {
         CROSSED
     } else if text.len() > expected.len() {
         REPEATED
@@ -154,7 +155,7 @@
     }
 }
 
-fn refused(status: u16, body: &Value) -> CallResult {
+fn refusal(status: u16, body: &Value) -> CallResult {
     let code = body["code"].as_str().map_or_else(|| format!("http_{status}"), str::to_owned);
     let told_not_run = body["outcome"] == "not_run";
     CallResult { outcome: code, told_not_run, ..CallResult::default() }
@@ -168,7 +169,7 @@
 ) -> CallResult {
     let mut result = CallResult::default();
     let mut text = String::new();
-    let mut last: Option<Instant> = None;
+    let mut previous: Option<Instant> = None;
     let mut line = String::new();
     loop {
         line.clear();
@@ -188,18 +189,18 @@
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
         let Some(piece) = event["choices"][0]["text"].as_str() else {
-            // The stream was ended by an error event, as it should be when it cannot be whole.
+            // An event without text is an error event, which ends a stream that cannot be completed.
             let code = event["code"].as_str().unwrap_or("unreadable_event");
             return CallResult { outcome: format!("stream_{code}"), ..result };
         };
         text.push_str(piece);
         let now = Instant::now();
-        match last.replace(now) {
-            Some(before) => result.gaps.push(now - before),
-            None => result.first = Some(now.saturating_duration_since(planned)),
+        match previous.replace(now) {
+            Some(previous_time) => result.gaps.push(now - previous_time),
+            None => result.first_token = Some(now.saturating_duration_since(planned)),
         }
     }
     let expected = expected_text(&call.prompt, plan.tokens);
-    result.outcome = judge(&text, &expected).to_owned();
+    result.outcome = classify_answer(&text, &expected).to_owned();
     result
 }
--- a/crates/standin/src/load/driver.rs
+++ b/crates/standin/src/load/driver.rs
@@ -1,4 +1,4 @@
-//! Starts the requests of a run at their planned times and collects their results.
+//! Starts the requests of a load at their planned times and collects the results.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,29 +7,30 @@
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
 use crossbeam::channel::{Receiver, Sender, unbounded};
 
-use super::audit::{self, AuditError, ToldOutcome};
+use super::audit::{self, AuditError, ReportedOutcome};
 use super::call::{ANSWERED, CallResult, run_call};
 use super::plan::LoadPlan;
 use super::report::{LoadReport, ReportCollector};
 use super::schedule::{LoadSchedule, PlannedCall};
 
-/// Time between two looks at the progress.
+/// Time between two progress reports.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One request that ended.
+/// A completed request; `start_delay` is the time from its planned to its actual start.
 struct EndedCall {
     call: PlannedCall,
-    delay: Duration,
+    start_delay: Duration,
     result: CallResult,
 }
 
-/// Runs `plan`; `progress` is told now and then how many were sent and how many ended.
+/// Runs `plan`; calls `progress` regularly with the numbers of sent and ended requests.
 ///
-/// Each open request has a thread with a small stack. A request starts at its planned time and its
-/// times count from then, so that a slow system cannot slow the load down and hide its own delay.
+/// Each open request has a thread with a small stack. Requests start at their planned times and
+/// latencies are measured from those, so that a slow system cannot slow down the load and thereby
+/// hide its latency (coordinated omission).
 ///
 /// # Errors
-/// An `AuditError` when the run logs of the stand-ins cannot be read.
+/// An `AuditError` if a run log of the stand-ins cannot be read.
 pub fn run_load(
     plan: &LoadPlan,
     mut progress: impl FnMut(u64, u64),
@@ -39,10 +40,10 @@
     let shared = Arc::new(plan.clone());
     let mut collector = LoadCollector::new(ended);
     let (mut sent, mut not_sent, mut most_open) = (0_u64, 0_u64, 0_u64);
-    let begun = Instant::now();
-    let mut told = begun;
+    let run_start = Instant::now();
+    let mut last_progress = run_start;
     for call in LoadSchedule::new(plan, rand::random()) {
-        let planned = begun + call.start;
+        let planned = run_start + call.start;
         std::thread::sleep(planned.saturating_duration_since(Instant::now()));
         let now_open = open.load(Ordering::Relaxed);
         most_open = most_open.max(now_open + 1);
@@ -53,24 +54,24 @@
         }
         sent += 1;
         collector.collect();
-        if told.elapsed() >= PROGRESS_INTERVAL {
+        if last_progress.elapsed() >= PROGRESS_INTERVAL {
             progress(sent, collector.count);
-            told = Instant::now();
+            last_progress = Instant::now();
         }
     }
     drop(results);
     while collector.wait(PROGRESS_INTERVAL) {
         progress(sent, collector.count);
     }
-    let mut report = collector.report.finish(not_sent, most_open, begun.elapsed());
+    let mut report = collector.report.finish(not_sent, most_open, run_start.elapsed());
     if !plan.stand_ins.is_empty() {
         let runs = audit::read_runs(&plan.stand_ins)?;
-        report.audit = Some(audit::compare(&collector.told, &runs));
+        report.audit = Some(audit::compare(&collector.reported, &runs));
     }
     Ok(report)
 }
 
-/// Starts one request on a thread of its own; `false` when the system has no thread left.
+/// Starts a request on its own thread; returns `false` if the thread cannot be created.
 fn start_call(
     plan: &Arc<LoadPlan>,
     call: PlannedCall,
@@ -81,10 +82,10 @@
     let (plan, results, count) = (Arc::clone(plan), results.clone(), Arc::clone(open));
     count.fetch_add(1, Ordering::Relaxed);
     let run = move || {
-        let delay = planned.elapsed();
+        let start_delay = planned.elapsed();
         let result = run_call(&plan, &call, planned);
         count.fetch_sub(1, Ordering::Relaxed);
-        let _ = results.send(EndedCall { call, delay, result });
+        let _ = results.send(EndedCall { call, start_delay, result });
     };
     let started = spawn_worker("load", WORKER_STACK_BYTES, run).is_ok();
     if !started {
@@ -96,13 +97,13 @@
 struct LoadCollector {
     ended: Receiver<EndedCall>,
     report: ReportCollector,
-    told: Vec<ToldOutcome>,
+    reported: Vec<ReportedOutcome>,
     count: u64,
 }
 
 impl LoadCollector {
     fn new(ended: Receiver<EndedCall>) -> Self {
-        Self { ended, report: ReportCollector::new(), told: Vec::new(), count: 0 }
+        Self { ended, report: ReportCollector::new(), reported: Vec::new(), count: 0 }
     }
 
     fn collect(&mut self) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Waits for results for `limit`; `false` once there are no more to come.
+    /// Collects results for `limit`; returns `false` when all requests have ended.
     fn wait(&mut self, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         loop {
@@ -124,9 +125,9 @@
 
     fn add(&mut self, ended: &EndedCall) {
         self.count += 1;
-        self.report.add(&ended.result, ended.call.stream, ended.delay);
-        self.told.push(ToldOutcome {
-            digest: ToldOutcome::digest_of(&ended.call.prompt),
+        self.report.add(&ended.result, ended.call.stream, ended.start_delay);
+        self.reported.push(ReportedOutcome {
+            digest: ReportedOutcome::digest_of(&ended.call.prompt),
             keyed: ended.call.key.is_some(),
             answered: ended.result.outcome == ANSWERED,
             told_not_run: ended.result.told_not_run,
--- a/crates/standin/src/load/mod.rs
+++ b/crates/standin/src/load/mod.rs
@@ -1,5 +1,7 @@
-//! Open-loop load against an entry or an engine: requests start when a seeded schedule says so,
-//! however slow the answers are, and every answer is checked against its own prompt.
+//! Open-loop load generator for an entry or an engine.
+//!
+//! Requests start at the times of a seeded schedule, however slow the answers are, and every answer
+//! is checked against its prompt.
 
 mod audit;
 mod call;
--- a/crates/standin/src/load/plan.rs
+++ b/crates/standin/src/load/plan.rs
@@ -1,47 +1,47 @@
-//! What one run of load consists of.
+//! Settings of a load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A run of load, built step by step.
+/// Settings of a load, with builder methods.
 #[derive(Debug, Clone)]
 pub struct LoadPlan {
-    /// Where requests go.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests are started.
+    /// Time during which requests are started.
     pub length: Duration,
     /// Seed of the schedule.
     pub seed: u64,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub tokens: u32,
-    /// Teams that take turns by chance; no team is named when empty.
+    /// Teams to choose from at random; if empty, requests carry no team.
     pub teams: Vec<String>,
-    /// Share of requests that ask for a stream.
+    /// Share of completions that request a stream, from 0 to 1.
     pub stream_share: f64,
-    /// Share of requests with an `Idempotency-Key`.
+    /// Share of requests with an `Idempotency-Key`, from 0 to 1.
     pub keyed_share: f64,
-    /// Prompt prefixes shared among the requests.
+    /// Number of prompt prefixes shared among the requests.
     pub prefixes: u32,
-    /// Bytes of each shared prefix.
+    /// Size of each shared prefix, in bytes.
     pub prefix_bytes: usize,
-    /// Plain service that a share of the calls goes to.
+    /// Plain service that `service_share` of the requests call.
     pub service: Option<String>,
-    /// Share of calls to the plain service.
+    /// Share of requests to the plain service, from 0 to 1.
     pub service_share: f64,
-    /// How long one answer is waited for.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Requests open at one time; a request over this is counted and not sent.
+    /// Maximum number of open requests; requests above it are counted but not sent.
     pub max_open: usize,
-    /// Stand-ins whose run logs are compared with what callers were told.
+    /// Stand-ins whose run logs are compared with the outcomes that callers got.
     pub stand_ins: Vec<SocketAddr>,
 }
 
 impl LoadPlan {
-    /// A run against `address`, with the defaults.
+    /// Creates the default settings for a load on `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sets requests a second and for how long.
+    /// Sets the number of requests per second and the time during which they start.
     #[must_use]
     pub fn pace(mut self, rate: f64, length: Duration) -> Self {
         self.rate = rate;
@@ -78,7 +78,7 @@
         self
     }
 
-    /// Sets the model and the tokens of each answer.
+    /// Sets the model and the number of tokens of each answer.
     #[must_use]
     pub fn model(mut self, model: &str, tokens: u32) -> Self {
         self.model = model.to_owned();
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Sets the shares of streams and of keyed requests.
+    /// Sets the shares of streams and of requests with an idempotency key, from 0 to 1.
     #[must_use]
     pub fn shares(mut self, stream: f64, keyed: f64) -> Self {
         self.stream_share = stream;
@@ -101,7 +101,7 @@
         self
     }
 
-    /// Sets how many prompt prefixes are shared, and their size.
+    /// Sets the number of shared prompt prefixes and their size in bytes.
     #[must_use]
     pub fn prefixes(mut self, prefixes: u32, bytes: usize) -> Self {
         self.prefixes = prefixes;
@@ -109,7 +109,7 @@
         self
     }
 
-    /// Sends a share of the calls to a plain service.
+    /// Sends a share of the requests (0 to 1) to the plain service `name`.
     #[must_use]
     pub fn service(mut self, name: &str, share: f64) -> Self {
         self.service = Some(name.to_owned());
@@ -117,7 +117,7 @@
         self
     }
 
-    /// Sets how long one answer is waited for, and how many may be open.
+    /// Sets the timeout of a request and the maximum number of open requests.
     #[must_use]
     pub fn bounds(mut self, timeout: Duration, max_open: usize) -> Self {
         self.timeout = timeout;
@@ -125,7 +125,7 @@
         self
     }
 
-    /// Compares with the run logs of these stand-ins.
+    /// Sets the stand-ins whose run logs are compared with the outcomes.
     #[must_use]
     pub fn stand_ins(mut self, addresses: &[SocketAddr]) -> Self {
         self.stand_ins = addresses.to_vec();
--- a/crates/standin/src/load/report.rs
+++ b/crates/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run of load showed.
+//! Report of a load.
 
 use std::time::Duration;
 
@@ -6,91 +6,91 @@
 use hdrhistogram::Histogram;
 
 use super::audit::RunAudit;
-use super::call::{ANSWERED, CROSSED, CallResult, LOST, REPEATED, SHORT};
+use super::call::{ANSWERED, CROSSED, CallResult, LOST_OUTCOMES, REPEATED, SHORT};
 
-/// Longest time that is recorded, in microseconds; longer ones count as this.
+/// Longest recorded time, in microseconds; longer times are recorded as this value.
 const MAX_MICROS: u64 = 600_000_000;
 
-/// Significant digits of the percentiles.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the recorded times.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 plain_value! {
-    /// Percentiles of one kind of time, in milliseconds.
+    /// Percentiles of a latency, in milliseconds.
     #[derive(Default)]
     pub struct LatencySummary {
-        /// How many were recorded.
+        /// Number of recorded values.
         pub count: u64,
-        /// Half are below.
+        /// Median.
         pub p50_ms: f64,
-        /// 95 in 100 are below.
+        /// 95th percentile.
         pub p95_ms: f64,
-        /// 99 in 100 are below.
+        /// 99th percentile.
         pub p99_ms: f64,
-        /// The longest.
+        /// Maximum.
         pub max_ms: f64,
     }
 
-    /// How many requests ended in one way.
+    /// Number of requests with one outcome.
     pub struct OutcomeCount {
-        /// `answered`, or a code.
+        /// Outcome: `answered` or the code of a failure.
         pub code: String,
-        /// How many.
+        /// Number of requests.
         pub count: u64,
     }
 
-    /// What a run of load showed.
+    /// Results of a load.
     pub struct LoadReport {
         /// Requests sent.
         pub sent: u64,
-        /// Whole answers to their own request.
+        /// Requests with a complete, correct answer.
         pub answered: u64,
-        /// Requests without an answer and without a refusal.
+        /// Requests without a complete answer and without a refusal.
         pub lost: u64,
         /// Answers that belong to another request.
         pub crossed: u64,
-        /// Answers that look whole and are not.
+        /// Incomplete answers that were presented as complete.
         pub short: u64,
-        /// Answers with pieces that came twice.
+        /// Answers with repeated parts.
         pub repeated: u64,
-        /// Requests whose callers were told that they were not run.
+        /// Requests whose answer states that they were not run.
         pub told_not_run: u64,
-        /// Requests that were not sent because too many were open.
+        /// Requests not sent because too many were open or no thread could be created.
         pub not_sent: u64,
-        /// Requests by how they ended.
+        /// Requests by outcome.
         pub outcomes: Vec<OutcomeCount>,
-        /// Planned start to first token of a stream.
+        /// Time from the planned start to the first token of a stream.
         pub first_token: LatencySummary,
-        /// Between two tokens of a stream.
+        /// Time between consecutive tokens of a stream.
         pub inter_token: LatencySummary,
-        /// Planned start to the end of a whole answer.
+        /// Time from the planned start to the end of a complete answer.
         pub whole_answer: LatencySummary,
-        /// How late requests were started by the generator itself.
+        /// Time from the planned to the actual start, caused by the generator itself.
         pub start_delay: LatencySummary,
-        /// Most requests open at one time.
+        /// Maximum number of requests open at the same time.
         pub most_open: u64,
-        /// Length of the run, in seconds.
+        /// Duration of the load, in seconds, until the last request ended.
         pub seconds: f64,
-        /// Comparison with the stand-ins' run logs, if asked for.
+        /// Comparison with the run logs of stand-ins, if the plan lists any.
         pub audit: Option<RunAudit>,
     }
 }
 
 impl LoadReport {
-    /// Whether nothing was lost, doubled, crossed or cut short.
+    /// Returns whether no request was lost and no answer was wrong, and the audit is clean.
     pub fn is_clean(&self) -> bool {
         let wrong = self.lost + self.crossed + self.short + self.repeated;
         wrong == 0 && self.audit.as_ref().is_none_or(RunAudit::is_clean)
     }
 }
 
-/// Collects results into a report.
+/// Accumulates results into a report.
 #[derive(Debug)]
 pub(super) struct ReportCollector {
     outcomes: SortedTable<String, u64>,
-    first: Histogram<u64>,
+    first_token: Histogram<u64>,
     gap: Histogram<u64>,
-    whole: Histogram<u64>,
-    delay: Histogram<u64>,
+    whole_answer: Histogram<u64>,
+    start_delay: Histogram<u64>,
     sent: u64,
     told_not_run: u64,
 }
@@ -99,26 +99,26 @@
     pub(super) fn new() -> Self {
         Self {
             outcomes: SortedTable::new(),
-            first: make_histogram(),
+            first_token: make_histogram(),
             gap: make_histogram(),
-            whole: make_histogram(),
-            delay: make_histogram(),
+            whole_answer: make_histogram(),
+            start_delay: make_histogram(),
             sent: 0,
             told_not_run: 0,
         }
     }
 
-    pub(super) fn add(&mut self, result: &CallResult, stream: bool, delay: Duration) {
+    pub(super) fn add(&mut self, result: &CallResult, stream: bool, start_delay: Duration) {
         self.sent += 1;
         self.told_not_run += u64::from(result.told_not_run);
         *self.outcomes.get_or_insert_with(result.outcome.clone(), || 0) += 1;
-        record(&mut self.delay, delay);
+        record(&mut self.start_delay, start_delay);
         if result.outcome != ANSWERED {
             return;
         }
-        record(&mut self.whole, result.whole);
-        if let Some(first) = result.first.filter(|_| stream) {
-            record(&mut self.first, first);
+        record(&mut self.whole_answer, result.whole_answer);
+        if let Some(first_token) = result.first_token.filter(|_| stream) {
+            record(&mut self.first_token, first_token);
         }
         for gap in &result.gaps {
             record(&mut self.gap, *gap);
@@ -130,7 +130,7 @@
         LoadReport {
             sent: self.sent,
             answered: count(ANSWERED),
-            lost: LOST.iter().map(|code| count(code)).sum(),
+            lost: LOST_OUTCOMES.iter().map(|code| count(code)).sum(),
             crossed: count(CROSSED),
             short: count(SHORT),
             repeated: count(REPEATED),
@@ -141,10 +141,10 @@
                 .iter()
                 .map(|(code, count)| OutcomeCount { code: code.clone(), count: *count })
                 .collect(),
-            first_token: summarize(&self.first),
+            first_token: summarize(&self.first_token),
             inter_token: summarize(&self.gap),
-            whole_answer: summarize(&self.whole),
-            start_delay: summarize(&self.delay),
+            whole_answer: summarize(&self.whole_answer),
+            start_delay: summarize(&self.start_delay),
             most_open,
             seconds: length.as_secs_f64(),
             audit: None,
@@ -153,7 +153,8 @@
 }
 
 fn make_histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_MICROS, DIGITS).expect("the bounds are constant and valid")
+    Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS)
+        .expect("the bounds are constant and valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, time: Duration) {
--- a/crates/standin/src/load/schedule.rs
+++ b/crates/standin/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! When each request starts and what it asks, drawn from a seed alone.
+//! Seeded schedule of a load: start times and contents of the requests.
 
 use std::time::Duration;
 
@@ -7,43 +7,43 @@
 
 use super::plan::LoadPlan;
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedCall {
-    /// When it starts, from the start of the run.
+    /// Planned start, relative to the start of the load.
     pub start: Duration,
-    /// Team, if one is named.
+    /// Team, if the plan lists any.
     pub team: Option<String>,
-    /// Prompt, or body for a plain service; no two are equal.
+    /// Prompt, or body of a call to a plain service; unique within a load.
     pub prompt: String,
-    /// Whether a stream is asked for.
+    /// Whether the answer is requested as a stream.
     pub stream: bool,
-    /// `Idempotency-Key`, if the call has one.
+    /// Idempotency key, if the request carries one.
     pub key: Option<String>,
-    /// Plain service, if the call goes to one.
+    /// Plain service to call; `None` for a completion.
     pub service: Option<String>,
 }
 
-/// Draws the requests of one run in order of their start: a Poisson process.
+/// Iterator over the requests of a load by start time, which is a Poisson process.
 #[derive(Debug)]
 pub struct LoadSchedule {
     plan: LoadPlan,
     generator: ChaCha8Rng,
-    tag: u64,
-    time: f64,
+    run_tag: u64,
+    elapsed_s: f64,
     number: u64,
 }
 
 impl LoadSchedule {
-    /// The schedule of `plan`; `tag` keeps the prompts of two runs apart.
-    pub fn new(plan: &LoadPlan, tag: u64) -> Self {
+    /// Creates the schedule of `plan`; `run_tag` makes prompts and keys differ between runs.
+    pub fn new(plan: &LoadPlan, run_tag: u64) -> Self {
         let generator = ChaCha8Rng::seed_from_u64(plan.seed);
-        Self { plan: plan.clone(), generator, tag, time: 0.0, number: 0 }
+        Self { plan: plan.clone(), generator, run_tag, elapsed_s: 0.0, number: 0 }
     }
 
     fn prompt(&mut self) -> String {
         let number = self.number;
-        let unique = format!("request {:016x}-{number}", self.tag);
+        let unique = format!("request {:016x}-{number}", self.run_tag);
         if self.plan.prefixes == 0 {
             return unique;
         }
@@ -62,8 +62,8 @@
 
     fn next(&mut self) -> Option<PlannedCall> {
         let draw: f64 = self.generator.random();
-        self.time += -(1.0 - draw).ln() / self.plan.rate;
-        let start = Duration::from_secs_f64(self.time);
+        self.elapsed_s += -(1.0 - draw).ln() / self.plan.rate;
+        let start = Duration::from_secs_f64(self.elapsed_s);
         if start >= self.plan.length {
             return None;
         }
@@ -73,7 +73,7 @@
         let plain = self.generator.random_bool(self.plan.service_share.clamp(0.0, 1.0));
         let stream = self.generator.random_bool(self.plan.stream_share.clamp(0.0, 1.0));
         let keyed = self.generator.random_bool(self.plan.keyed_share.clamp(0.0, 1.0));
-        let key = keyed.then(|| format!("key-{:016x}-{}", self.tag, self.number));
+        let key = keyed.then(|| format!("key-{:016x}-{}", self.run_tag, self.number));
         let service = self.plan.service.clone().filter(|_| plain);
         self.number += 1;
         Some(PlannedCall {
--- a/crates/standin/src/ports.rs
+++ b/crates/standin/src/ports.rs
@@ -1,4 +1,4 @@
-//! Addresses on loopback for processes that must know each other's before they start.
+//! Allocates loopback addresses for processes that need each other's address before they start.
 
 use std::io::{Error, ErrorKind, Result};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -6,51 +6,50 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// Ports to choose from.
+/// Ports to allocate from.
 ///
-/// They lie below those that the system hands out by itself: one of those could be taken by an
-/// outgoing connection before the process that is to listen there has started, or while it is
-/// being restarted.
-const PORTS: Range<u16> = 12_000..30_000;
+/// The range lies below the system's ephemeral ports: an outgoing connection could take one of
+/// those before the listening process has started, or while it restarts.
+const PORT_RANGE: Range<u16> = 12_000..30_000;
 
-/// Ports that are tried before giving up.
-const PORT_TRIES: u32 = 100;
+/// Ports tried before an allocation fails.
+const MAX_PORT_ATTEMPTS: u32 = 100;
 
-/// An address that is free now.
+/// Returns a loopback address whose port is currently free.
 ///
 /// # Errors
-/// No port of the range is to be had.
+/// The error of the last bind attempt when none of the tried ports is free.
 pub fn free_address() -> Result<SocketAddr> {
-    hold_address().map(|(address, _)| address)
+    bind_free_port().map(|(address, _)| address)
 }
 
-/// `count` different addresses that are free now.
+/// Returns `count` distinct loopback addresses whose ports are currently free.
 ///
 /// # Errors
-/// As [`free_address`].
+/// The same as [`free_address`].
 pub fn free_addresses(count: usize) -> Result<Vec<SocketAddr>> {
     (0..count).map(|_| free_address()).collect()
 }
 
-/// Chooses the next port that is free; one process hands none out twice.
+/// Binds the next free port; a process allocates none twice before it has used the whole range.
 ///
-/// Whoever was given a port may not listen on it yet when the next one is chosen, and one of two
-/// processes with the same port would never start.
-fn hold_address() -> Result<(SocketAddr, TcpListener)> {
+/// The receiver of a port may not listen on it yet when the next one is allocated, and of two
+/// processes with the same port one could not start.
+fn bind_free_port() -> Result<(SocketAddr, TcpListener)> {
     static START: OnceLock<u16> = OnceLock::new();
-    static HANDED_OUT: AtomicU16 = AtomicU16::new(0);
+    static ALLOCATED: AtomicU16 = AtomicU16::new(0);
 
-    let width = PORTS.end - PORTS.start;
+    let width = PORT_RANGE.end - PORT_RANGE.start;
     let start = *START.get_or_init(|| rand::random_range(0..width));
-    let mut last = Error::from(ErrorKind::AddrInUse);
-    for _ in 0..PORT_TRIES {
-        let step = HANDED_OUT.fetch_add(1, Ordering::Relaxed) % width;
-        let port = PORTS.start + (start + step) % width;
+    let mut last_error = Error::from(ErrorKind::AddrInUse);
+    for _ in 0..MAX_PORT_ATTEMPTS {
+        let step = ALLOCATED.fetch_add(1, Ordering::Relaxed) % width;
+        let port = PORT_RANGE.start + (start + step) % width;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         match TcpListener::bind(address) {
             Ok(listener) => return Ok((address, listener)),
-            Err(error) => last = error,
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
--- a/crates/standin/src/runs.rs
+++ b/crates/standin/src/runs.rs
@@ -1,4 +1,4 @@
-//! What a stand-in truly ran, for tests and measurements to compare with what callers were told.
+//! Log of the requests that a stand-in ran; tests compare it with the outcomes that callers got.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -7,45 +7,45 @@
 use serde_json::json;
 use tiny_http::{Method, Request};
 
-use crate::fault::{FaultPlan, FaultSwitch};
+use crate::fault::{FaultInjector, FaultPlan};
 
-/// Runs that are remembered; older ones are dropped and counted.
+/// Maximum number of logged runs; beyond it the older half is dropped and counted.
 const MAX_RUNS: usize = 200_000;
 
-/// Largest fault plan, in bytes.
+/// Maximum size of a fault plan, in bytes.
 const MAX_PLAN_BYTES: usize = 64 * 1024;
 
 plain_choice! {
-    /// How far a run came.
+    /// State of a run.
     pub enum RunState {
-        /// It began.
+        /// The run has started and not ended.
         Running,
-        /// It came to its end.
+        /// The run completed.
         Finished,
-        /// It was cancelled.
+        /// The run was cancelled.
         Cancelled,
     }
 }
 
 plain_value! {
-    /// One run of one request.
+    /// One execution of a request.
     pub struct RunRecord {
-        /// Position in the log, from zero.
+        /// Position in the log, from zero; counts dropped runs too.
         pub sequence: u64,
-        /// Value of `x-request-id`.
+        /// Value of the `x-request-id` header.
         pub request_id: String,
-        /// Value of `Idempotency-Key`.
+        /// Value of the `Idempotency-Key` header, if present.
         pub key: Option<String>,
-        /// Path called.
+        /// Request path.
         pub path: String,
-        /// Identity of the prompt or body.
+        /// Hash of the prompt or body, as [`prompt_digest`](crate::prompt_digest) returns it.
         pub digest: String,
-        /// How far it came.
+        /// State of the run.
         pub state: RunState,
     }
 }
 
-/// The log of runs of one stand-in.
+/// Run log of one stand-in.
 #[derive(Debug, Default)]
 pub struct RunLog {
     runs: Mutex<RunTable>,
@@ -58,7 +58,7 @@
 }
 
 impl RunLog {
-    /// Notes that a run begins; returns its position.
+    /// Logs the start of a run and returns its `sequence`.
     pub fn begin(&self, request_id: &str, key: Option<&str>, path: &str, digest: &str) -> u64 {
         let mut table = self.lock();
         if table.runs.len() >= MAX_RUNS {
@@ -78,7 +78,7 @@
         sequence
     }
 
-    /// Notes how the run at `sequence` ended.
+    /// Sets the final state of the run at `sequence`; does nothing if the run was dropped.
     pub fn end(&self, sequence: u64, state: RunState) {
         let mut table = self.lock();
         let position = sequence.checked_sub(table.dropped).and_then(|at| usize::try_from(at).ok());
@@ -87,17 +87,17 @@
         }
     }
 
-    /// Every run that is remembered.
+    /// Returns all logged runs, oldest first.
     pub fn all(&self) -> Vec<RunRecord> {
         self.lock().runs.clone()
     }
 
-    /// How many runs carried `key`.
+    /// Returns the number of logged runs with this idempotency key.
     pub fn count_key(&self, key: &str) -> usize {
         self.lock().runs.iter().filter(|run| run.key.as_deref() == Some(key)).count()
     }
 
-    /// How many runs carried `request_id`.
+    /// Returns the number of logged runs with this request id.
     pub fn count_request(&self, request_id: &str) -> usize {
         self.lock().runs.iter().filter(|run| run.request_id == request_id).count()
     }
@@ -107,12 +107,12 @@
     }
 }
 
-/// Answers the calls that every stand-in has; hands other requests back.
+/// Handles the `/stand-in/...` calls that all stand-ins share; returns any other request.
 pub(crate) fn handle_common(
     mut request: Request,
     path: &str,
     runs: &RunLog,
-    faults: &FaultSwitch,
+    faults: &FaultInjector,
 ) -> Option<Request> {
     match path {
         "/stand-in/runs" => {
@@ -124,7 +124,7 @@
         "/stand-in/faults" if *request.method() == Method::Post => {
             let reply = match read_plan(&mut request) {
                 Ok(plan) => {
-                    faults.change(&plan);
+                    faults.set_plan(&plan);
                     JsonReply::new(200, json!({ "faults": plan.faults.len() }))
                 }
                 Err(detail) => JsonReply::new(400, json!({ "error": { "message": detail } })),
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -1,7 +1,7 @@
-//! A plain HTTP service that counts what it runs, so that a call that ran twice can be seen.
+//! A plain HTTP service that logs every run, so that duplicate executions can be detected.
 //!
-//! Every `POST` runs and is logged with its `Idempotency-Key`; it does not look at earlier ones,
-//! as a service that relies on its caller does. `GET` reads and changes nothing.
+//! Every request but `GET` and `HEAD` runs and is logged with its `Idempotency-Key`. The service
+//! does not deduplicate by key: it represents one that relies on its caller for that.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,41 +11,41 @@
 use serde_json::json;
 use tiny_http::{Method, Request};
 
-use crate::fault::{FaultKind, FaultPlan, FaultSwitch};
+use crate::fault::{FaultInjector, FaultKind, FaultPlan};
 use crate::runs::{RunLog, RunState, handle_common};
 use crate::text::{expected_text, prompt_digest};
 
-/// Requests that one service keeps open.
-const MAX_OPEN: u32 = 8192;
+/// Maximum number of open HTTP requests.
+const MAX_OPEN_REQUESTS: u32 = 8192;
 
-/// Largest request body, in bytes.
-const MAX_BODY: usize = 4 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Settings of a plain service, built step by step.
+/// Settings of a stand-in service, with builder methods.
 #[derive(Debug, Clone)]
 pub struct ServiceSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Time that one call takes.
+    /// Duration of a run.
     pub work: Duration,
-    /// Faults from the start.
+    /// Initial fault plan.
     pub faults: FaultPlan,
 }
 
 impl ServiceSettings {
-    /// A service that listens on `listen`, with the defaults.
+    /// Creates default settings for a service that listens on `listen`.
     pub fn new(listen: SocketAddr) -> Self {
         Self { listen, work: Duration::from_millis(2), faults: FaultPlan::default() }
     }
 
-    /// Sets the time that one call takes.
+    /// Sets the duration of a run.
     #[must_use]
     pub fn work(mut self, work: Duration) -> Self {
         self.work = work;
         self
     }
 
-    /// Sets the faults from the start.
+    /// Sets the initial fault plan.
     #[must_use]
     pub fn faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
@@ -56,40 +56,40 @@
 struct ServiceShared {
     settings: ServiceSettings,
     runs: RunLog,
-    faults: FaultSwitch,
+    faults: FaultInjector,
 }
 
-/// A running plain service.
+/// A running stand-in for a plain service.
 pub struct StandinService {
     listener: HttpListener,
     shared: Arc<ServiceShared>,
 }
 
 impl StandinService {
-    /// Starts a service.
+    /// Starts the HTTP listener.
     ///
     /// # Errors
-    /// A `ListenError` when its address cannot be used.
+    /// A `ListenError` if the address cannot be used.
     pub fn start(settings: ServiceSettings) -> Result<Self, ListenError> {
         let listen = settings.listen;
-        let faults = FaultSwitch::new(&settings.faults);
+        let faults = FaultInjector::new(&settings.faults);
         let shared = Arc::new(ServiceShared { settings, runs: RunLog::default(), faults });
         let calls = Arc::clone(&shared);
         let handler = Arc::new(move |request| handle(request, &calls));
-        Ok(Self { listener: HttpListener::start(listen, MAX_OPEN, handler)?, shared })
+        Ok(Self { listener: HttpListener::start(listen, MAX_OPEN_REQUESTS, handler)?, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// What it truly ran.
+    /// Returns the log of the requests that it ran.
     pub fn runs(&self) -> &RunLog {
         &self.shared.runs
     }
 
-    /// Takes no more requests.
+    /// Stops accepting requests.
     pub fn stop(&self) {
         self.listener.stop();
     }
@@ -103,7 +103,7 @@
     if path == "/health" {
         return reply_json(request, &JsonReply::new(200, json!({ "ready": true })));
     }
-    let body = match read_body(&mut request, MAX_BODY) {
+    let body = match read_body(&mut request, MAX_BODY_BYTES) {
         Ok(body) => body,
         Err(error) => {
             let body = json!({ "error": { "message": error.to_string() } });
@@ -119,22 +119,22 @@
         let body = json!({ "error": { "message": "refused by a fault" } });
         return reply_json(request, &JsonReply::new(503, body));
     }
-    std::thread::sleep(faults.time(FaultKind::Late));
+    std::thread::sleep(faults.duration(FaultKind::Late));
     let id = header_value(&request, "x-request-id").unwrap_or("none").to_owned();
     let key = header_value(&request, "idempotency-key").map(str::to_owned);
-    let reads = matches!(request.method(), Method::Get | Method::Head);
-    let runs = if reads { 0 } else { 1 + usize::from(faults.has(FaultKind::Doubled)) };
+    let is_read = matches!(request.method(), Method::Get | Method::Head);
+    let runs = if is_read { 0 } else { 1 + usize::from(faults.has(FaultKind::Doubled)) };
     for _ in 0..runs {
         let run = shared.runs.begin(&id, key.as_deref(), path, &prompt_digest(body));
         std::thread::sleep(shared.settings.work);
         shared.runs.end(run, RunState::Finished);
     }
-    std::thread::sleep(faults.time(FaultKind::Slow));
+    std::thread::sleep(faults.duration(FaultKind::Slow));
     let (id, body) = if faults.has(FaultKind::Crossed) { ("other", "other") } else { (&*id, body) };
     let answer = json!({ "id": id, "path": path, "text": expected_text(body, 1) });
     if faults.has(FaultKind::Silent) || faults.has(FaultKind::Cut) {
-        // It ran, and its caller never learns so.
-        std::thread::sleep(faults.time(FaultKind::Silent));
+        // The request ran, but its caller gets no answer.
+        std::thread::sleep(faults.duration(FaultKind::Silent));
         drop(request.into_writer());
         return;
     }
--- a/crates/standin/src/weights/mod.rs
+++ b/crates/standin/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! A weight store that serves few loads at a time, each at a bounded rate.
+//! A weight store with bounded concurrency and a bandwidth limit shared by all loads.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,46 +9,46 @@
 use serde_json::json;
 use tiny_http::Request;
 
-/// Requests that the store keeps open.
-const MAX_OPEN: u32 = 1024;
+/// Maximum number of open HTTP requests.
+const MAX_OPEN_REQUESTS: u32 = 1024;
 
-/// Bytes sent at one time.
-const PIECE_BYTES: usize = 64 * 1024;
+/// Size of a write to a response, in bytes.
+const CHUNK_BYTES: usize = 64 * 1024;
 
-/// Settings of a weight store, built step by step.
+/// Settings of a stand-in weight store, with builder methods.
 #[derive(Debug, Clone)]
 pub struct WeightSettings {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Loads served at one time; others wait.
+    /// Maximum number of concurrent loads; others wait.
     pub loads: usize,
-    /// Bytes a second, over all loads.
+    /// Total bandwidth of all loads, in bytes per second.
     pub bytes_per_second: u64,
-    /// Size of every weight file.
+    /// Size of every weight file, in bytes.
     pub file_bytes: usize,
 }
 
 impl WeightSettings {
-    /// A store that listens on `listen`, with the defaults.
+    /// Creates default settings for a store that listens on `listen`.
     pub fn new(listen: SocketAddr) -> Self {
         Self { listen, loads: 4, bytes_per_second: 8 << 20, file_bytes: 1 << 20 }
     }
 
-    /// Sets how many loads are served at one time.
+    /// Sets the maximum number of concurrent loads, at least one.
     #[must_use]
     pub fn loads(mut self, loads: usize) -> Self {
         self.loads = loads.max(1);
         self
     }
 
-    /// Sets the rate over all loads.
+    /// Sets the total bandwidth of all loads, in bytes per second, at least one.
     #[must_use]
     pub fn bytes_per_second(mut self, rate: u64) -> Self {
         self.bytes_per_second = rate.max(1);
         self
     }
 
-    /// Sets the size of every weight file.
+    /// Sets the size of every weight file, in bytes.
     #[must_use]
     pub fn file_bytes(mut self, bytes: usize) -> Self {
         self.file_bytes = bytes;
@@ -61,52 +61,52 @@
     active: usize,
     most_active: usize,
     served: u64,
-    /// When the next byte may be sent.
-    free_at: Option<Instant>,
+    /// Time at which the next chunk may start.
+    next_send: Option<Instant>,
 }
 
 struct StoreShared {
     settings: WeightSettings,
     state: Mutex<StoreState>,
-    freed: Condvar,
+    slot_freed: Condvar,
 }
 
-/// A running weight store.
+/// A running stand-in for a weight store.
 pub struct StandinWeights {
     listener: HttpListener,
     shared: Arc<StoreShared>,
 }
 
 impl StandinWeights {
-    /// Starts a weight store.
+    /// Starts the HTTP listener.
     ///
     /// # Errors
-    /// A `ListenError` when its address cannot be used.
+    /// A `ListenError` if the address cannot be used.
     pub fn start(settings: WeightSettings) -> Result<Self, ListenError> {
         let listen = settings.listen;
         let shared =
-            Arc::new(StoreShared { settings, state: Mutex::default(), freed: Condvar::new() });
+            Arc::new(StoreShared { settings, state: Mutex::default(), slot_freed: Condvar::new() });
         let calls = Arc::clone(&shared);
         let handler = Arc::new(move |request| handle(request, &calls));
-        Ok(Self { listener: HttpListener::start(listen, MAX_OPEN, handler)?, shared })
+        Ok(Self { listener: HttpListener::start(listen, MAX_OPEN_REQUESTS, handler)?, shared })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Loads served to their end.
+    /// Returns the number of completed loads.
     pub fn served(&self) -> u64 {
         self.shared.lock().served
     }
 
-    /// Most loads that were served at one time.
+    /// Returns the maximum number of loads that were active at the same time.
     pub fn most_active(&self) -> usize {
         self.shared.lock().most_active
     }
 
-    /// Takes no more requests.
+    /// Stops accepting requests.
     pub fn stop(&self) {
         self.listener.stop();
     }
@@ -117,30 +117,30 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a place among the loads.
-    fn enter(&self) {
+    /// Waits until fewer than `loads` loads are active, and starts one.
+    fn acquire_slot(&self) {
         let full = |state: &mut StoreState| state.active >= self.settings.loads;
-        let waited = self.freed.wait_while(self.lock(), full);
+        let waited = self.slot_freed.wait_while(self.lock(), full);
         let mut state = waited.unwrap_or_else(PoisonError::into_inner);
         state.active += 1;
         state.most_active = state.most_active.max(state.active);
     }
 
-    fn leave(&self, whole: bool) {
+    fn release_slot(&self, complete: bool) {
         let mut state = self.lock();
         state.active -= 1;
-        state.served += u64::from(whole);
-        self.freed.notify_one();
+        state.served += u64::from(complete);
+        self.slot_freed.notify_one();
     }
 
-    /// Waits until `bytes` may be sent.
-    fn pace(&self, bytes: usize) {
+    /// Reserves the time to send `bytes` at the total rate, and waits for its end.
+    fn throttle(&self, bytes: usize) {
         let rate = self.settings.bytes_per_second;
         let time = Duration::from_secs_f64(bytes as f64 / rate as f64);
         let now = Instant::now();
         let mut state = self.lock();
-        let start = state.free_at.map_or(now, |at| at.max(now));
-        state.free_at = Some(start + time);
+        let start = state.next_send.map_or(now, |at| at.max(now));
+        state.next_send = Some(start + time);
         drop(state);
         std::thread::sleep((start + time).saturating_duration_since(now));
     }
@@ -154,11 +154,11 @@
         drop(state);
         return reply_json(request, &JsonReply::new(200, body));
     }
-    shared.enter();
+    shared.acquire_slot();
     let sent = send_file(request, shared);
-    shared.leave(sent.is_ok());
+    shared.release_slot(sent.is_ok());
     if let Err(error) = sent {
-        log::debug!("a load broke off: {error}");
+        log::debug!("load ended before the file was sent: {error}");
     }
 }
 
@@ -169,13 +169,13 @@
         "HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: {size}\r\n\r\n"
     );
     output.write_all(head.as_bytes())?;
-    let piece = [0_u8; PIECE_BYTES];
-    let mut left = size;
-    while left > 0 {
-        let bytes = left.min(PIECE_BYTES);
-        shared.pace(bytes);
-        output.write_all(&piece[..bytes])?;
-        left -= bytes;
+    let chunk = [0_u8; CHUNK_BYTES];
+    let mut remaining = size;
+    while remaining > 0 {
+        let bytes = remaining.min(CHUNK_BYTES);
+        shared.throttle(bytes);
+        output.write_all(&chunk[..bytes])?;
+        remaining -= bytes;
     }
     output.flush()
 }
--- a/crates/standin/tests/engine_decisions.rs
+++ b/crates/standin/tests/engine_decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of the stand-in engine: batch, cache, orders.
+//! Tests of the batch, the prefix cache and the orders of the stand-in engine.
 
 use std::time::Duration;
 
@@ -54,8 +54,8 @@
 
 #[test]
 fn cache_events_come_late_and_with_gaps() {
-    // Events of a busy engine arrive late, and some never do. A reader that took a missing event
-    // for "not cached" would send prompts elsewhere for good; the gap in the numbers shows it.
+    // Events of a busy engine are late or lost. A reader that takes a lost event for "not cached"
+    // would never route the prompt here again; the gap in the sequence numbers reveals the loss.
     let mut cache = PrefixCache::new(100, DELAY, 0.5, 7);
     cache.read_prompt(Duration::ZERO, &"z".repeat(64 * 20));
 
@@ -69,8 +69,7 @@
 
 #[test]
 fn damaged_blob_is_not_imported() {
-    // A blob is cut or belongs to another prefix. Answers computed from it would be wrong, so the
-    // import says no.
+    // Answers computed from a truncated blob, or from that of another prefix, would be wrong.
     let mut source = PrefixCache::new(10, DELAY, 0.0, 1);
     let prompt = "w".repeat(64);
     source.read_prompt(Duration::ZERO, &prompt);
@@ -87,14 +86,14 @@
 
 #[test]
 fn old_fencing_number_is_refused_only_where_it_is_checked() {
-    // An order of a former owner arrives after one of the new owner. An engine that checks says
-    // no; one that does not takes it, and only its agent can keep such an order away.
+    // An order of a former owner arrives after one of the new owner. An engine that checks fencing
+    // numbers refuses it; for an engine that does not, only its agent can hold the order back.
     let mut checking = OrderBook::new(true);
     let mut ignoring = OrderBook::new(false);
 
     let taken: Vec<bool> = [&mut checking, &mut ignoring]
         .into_iter()
-        .map(|book| book.take(&order(5)).is_ok() && book.take(&order(4)).is_ok())
+        .map(|book| book.accept(&order(5)).is_ok() && book.accept(&order(4)).is_ok())
         .collect();
 
     assert_eq!(taken, vec![false, true]);
--- a/crates/standin/tests/schedule.rs
+++ b/crates/standin/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of a load: the same seed gives the same requests, at the rate that was asked for.
+//! Tests of the schedule of a load: it is reproducible from a seed and has the requested rate.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins over HTTP.
+//! Tests of the stand-ins over HTTP.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -65,8 +65,8 @@
 
 #[test]
 fn load_notices_each_fault() {
-    // An engine answers with another's text, twice, half, or not at all. A caller would read a
-    // wrong or shortened answer; a load that did not notice would prove nothing.
+    // An engine sends the text of another request, repeated parts, or an incomplete answer. A load
+    // generator that missed these faults would hide wrong answers to callers.
     let seen: Vec<(u64, u64, u64)> = [FaultKind::Crossed, FaultKind::Doubled, FaultKind::Cut]
         .into_iter()
         .map(|kind| {
@@ -123,7 +123,7 @@
         std::thread::sleep(Duration::from_millis(5));
     }
 
-    // The run is logged just before the request is handed to the engine's thread.
+    // The run is logged just before the request is submitted, so that a 404 is possible at first.
     let mut cancelled = 404;
     while cancelled == 404 {
         cancelled = post(address, "/requests/long/cancel", &[], &json!({}));
