--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -75,15 +75,15 @@
     /// Adds the blocks of `prompt` and returns the number of tokens that were not cached.
     pub fn read_prompt(&mut self, now: Duration, prompt: &str) -> usize {
         let mut cached = 0;
-        let mut unbroken = true;
+        let mut contiguous = true;
         for hash in block_hashes(prompt) {
             self.use_count += 1;
-            let known = self.blocks.insert(hash, self.use_count).is_some();
-            unbroken &= known;
-            if unbroken {
+            let was_cached = self.blocks.insert(hash, self.use_count).is_some();
+            contiguous &= was_cached;
+            if contiguous {
                 cached += BLOCK_BYTES;
             }
-            if !known {
+            if !was_cached {
                 self.publish(now, CacheChange::Stored, hash);
             }
         }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -49,8 +49,8 @@
         let address = settings.listen;
         let shared = EngineShared::start(settings)
             .map_err(|source| ListenError::Address { address, source })?;
-        let calls = Arc::clone(&shared);
-        let handler = Arc::new(move |request| api::handle(request, &calls));
+        let handler_shared = Arc::clone(&shared);
+        let handler = Arc::new(move |request| api::handle(request, &handler_shared));
         Ok(Self { listener: HttpListener::start(address, MAX_OPEN_REQUESTS, handler)?, shared })
     }
 
--- a/crates/standin/src/group_host/mod.rs
+++ b/crates/standin/src/group_host/mod.rs
@@ -1,7 +1,7 @@
 //! An endpoint that serves in groups and follows the orders of the platform's published protocol.
 //!
-//! Members join groups with increasing epochs, only the head of a group opens it, and weights can be
-//! staged in advance. [`HostModel`] is the state machine without sockets or a clock;
+//! Members join groups with increasing epochs, only the head of a group opens it, and weights can
+//! be staged in advance. [`HostModel`] is the state machine without sockets or a clock;
 //! [`HostModel::tick`] advances it to a given time. [`HostServer`] serves it on a socket.
 
 mod model;
--- a/crates/standin/src/group_host/model.rs
+++ b/crates/standin/src/group_host/model.rs
@@ -57,7 +57,7 @@
     pub leaving: bool,
     /// Start times of its loads from the weight store.
     pub loads: Vec<TimePoint>,
-    /// Reported factor on its durations; 1 is normal speed.
+    /// Factor on its durations that it reports; not applied to the model's own durations.
     pub pace: f64,
     staged: Option<String>,
     staging: Option<(String, TimePoint)>,
--- a/crates/standin/src/group_host/server.rs
+++ b/crates/standin/src/group_host/server.rs
@@ -1,8 +1,8 @@
 //! A stand-in endpoint on a socket: it applies orders, reports its state, sends heartbeats, and
 //! answers requests as the head of a group or as a plain service.
 //!
-//! A request with the fatal body crashes it: all of its connections are reset, and it restarts after
-//! `RESTART_DELAY` at the same address with a new incarnation id.
+//! A request with the fatal body crashes it: all of its connections are reset, and it restarts
+//! after `RESTART_DELAY` at the same address with a new incarnation id.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -174,11 +174,7 @@
         }
         match std::net::TcpListener::bind(address) {
             Ok(bound) => listener = bound,
-            Err(error) => {
-                return log::error!(
-                    "cannot bind {address} again after a crash: {error}; the endpoint stays down"
-                );
-            }
+            Err(error) => return log::error!("cannot restart at {address}, stopping: {error}"),
         }
     }
 }
@@ -197,7 +193,9 @@
     let crash = Rc::new(Notify::new());
     let end = local.block_on(&runtime, async {
         tokio::select! {
-            () = serve(listener, address, settings, shared, Rc::clone(&crash)) => IncarnationEnd::Stopped,
+            () = serve(listener, address, settings, shared, Rc::clone(&crash)) => {
+                IncarnationEnd::Stopped
+            }
             () = crash.notified() => IncarnationEnd::Crashed,
             _ = stopped => IncarnationEnd::Stopped,
         }
@@ -286,10 +284,10 @@
         let Ok(Ok((head, _, _))) = tokio::time::timeout(HEARTBEAT_TIMEOUT, sent).await else {
             return false;
         };
-        let named = head.headers.get(header::LOCATION).and_then(|value| value.to_str().ok());
-        let named = named
+        let redirect = head.headers.get(header::LOCATION).and_then(|value| value.to_str().ok());
+        let redirect = redirect
             .and_then(|location| location.strip_prefix("http://")?.split('/').next()?.parse().ok());
-        match named {
+        match redirect {
             Some(leader) => address = leader,
             None => return head.status.is_success(),
         }
--- a/crates/standin/src/load/call.rs
+++ b/crates/standin/src/load/call.rs
@@ -49,13 +49,13 @@
     }
 }
 
-/// Runs a request; times are measured from `planned`, so that a late start is included.
-pub(super) fn run_call(plan: &LoadPlan, call: &PlannedCall, planned: Instant) -> CallResult {
+/// Runs a request; times are measured from `planned_start`, so that a late start is included.
+pub(super) fn run_call(plan: &LoadPlan, call: &PlannedCall, planned_start: Instant) -> CallResult {
     let mut result = match send(plan, call) {
-        Ok(response) => read_answer(plan, call, response, planned),
+        Ok(response) => read_answer(plan, call, response, planned_start),
         Err(outcome) => CallResult::with_outcome(outcome),
     };
-    result.whole_answer = planned.elapsed();
+    result.whole_answer = planned_start.elapsed();
     result
 }
 
@@ -105,12 +105,12 @@
     plan: &LoadPlan,
     call: &PlannedCall,
     response: attohttpc::Response,
-    planned: Instant,
+    planned_start: Instant,
 ) -> CallResult {
     let (status, headers, reader) = response.split();
     let kind = headers.get("content-type").and_then(|value| value.to_str().ok()).unwrap_or("");
     if status.as_u16() == 200 && kind.starts_with("text/event-stream") {
-        return read_stream(plan, call, BufReader::new(reader), planned);
+        return read_stream(plan, call, BufReader::new(reader), planned_start);
     }
     let content_length =
         headers.get("content-length").and_then(|value| value.to_str().ok()?.parse().ok());
@@ -136,7 +136,7 @@
         }
     };
     let mut result = CallResult::with_outcome(classify_answer(text.unwrap_or_default(), &expected));
-    result.first_token = Some(planned.elapsed());
+    result.first_token = Some(planned_start.elapsed());
     result
 }
 
@@ -165,7 +165,7 @@
     plan: &LoadPlan,
     call: &PlannedCall,
     mut reader: BufReader<ResponseReader>,
-    planned: Instant,
+    planned_start: Instant,
 ) -> CallResult {
     let mut result = CallResult::default();
     let mut text = String::new();
@@ -180,7 +180,7 @@
                 return CallResult { outcome: io_outcome(&error).to_owned(), ..result };
             }
         }
-        if planned.elapsed() > plan.timeout {
+        if planned_start.elapsed() > plan.timeout {
             return CallResult { outcome: "timed_out".to_owned(), ..result };
         }
         let Some(data) = line.trim_end().strip_prefix("data:") else { continue };
@@ -189,7 +189,7 @@
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
         let Some(piece) = event["choices"][0]["text"].as_str() else {
-            // An event without text is an error event, which ends a stream that cannot be completed.
+            // An event without text is an error event: the stream cannot be completed.
             let code = event["code"].as_str().unwrap_or("unreadable_event");
             return CallResult { outcome: format!("stream_{code}"), ..result };
         };
@@ -197,7 +197,7 @@
         let now = Instant::now();
         match previous.replace(now) {
             Some(previous_time) => result.gaps.push(now - previous_time),
-            None => result.first_token = Some(now.saturating_duration_since(planned)),
+            None => result.first_token = Some(now.saturating_duration_since(planned_start)),
         }
     }
     let expected = expected_text(&call.prompt, plan.tokens);
--- a/crates/standin/src/load/driver.rs
+++ b/crates/standin/src/load/driver.rs
@@ -43,11 +43,12 @@
     let run_start = Instant::now();
     let mut last_progress = run_start;
     for call in LoadSchedule::new(plan, rand::random()) {
-        let planned = run_start + call.start;
-        std::thread::sleep(planned.saturating_duration_since(Instant::now()));
+        let planned_start = run_start + call.start;
+        std::thread::sleep(planned_start.saturating_duration_since(Instant::now()));
         let now_open = open.load(Ordering::Relaxed);
         most_open = most_open.max(now_open + 1);
-        if now_open >= plan.max_open as u64 || !start_call(&shared, call, planned, &results, &open)
+        if now_open >= plan.max_open as u64
+            || !start_call(&shared, call, planned_start, &results, &open)
         {
             not_sent += 1;
             continue;
@@ -75,15 +76,15 @@
 fn start_call(
     plan: &Arc<LoadPlan>,
     call: PlannedCall,
-    planned: Instant,
+    planned_start: Instant,
     results: &Sender<EndedCall>,
     open: &Arc<AtomicU64>,
 ) -> bool {
     let (plan, results, count) = (Arc::clone(plan), results.clone(), Arc::clone(open));
     count.fetch_add(1, Ordering::Relaxed);
     let run = move || {
-        let start_delay = planned.elapsed();
-        let result = run_call(&plan, &call, planned);
+        let start_delay = planned_start.elapsed();
+        let result = run_call(&plan, &call, planned_start);
         count.fetch_sub(1, Ordering::Relaxed);
         let _ = results.send(EndedCall { call, start_delay, result });
     };
--- a/crates/standin/src/load/schedule.rs
+++ b/crates/standin/src/load/schedule.rs
@@ -70,11 +70,11 @@
         let prompt = self.prompt();
         let teams = self.plan.teams.len();
         let team = (teams > 0).then(|| self.generator.random_range(0..teams));
-        let plain = self.generator.random_bool(self.plan.service_share.clamp(0.0, 1.0));
+        let to_service = self.generator.random_bool(self.plan.service_share.clamp(0.0, 1.0));
         let stream = self.generator.random_bool(self.plan.stream_share.clamp(0.0, 1.0));
         let keyed = self.generator.random_bool(self.plan.keyed_share.clamp(0.0, 1.0));
         let key = keyed.then(|| format!("key-{:016x}-{}", self.run_tag, self.number));
-        let service = self.plan.service.clone().filter(|_| plain);
+        let service = self.plan.service.clone().filter(|_| to_service);
         self.number += 1;
         Some(PlannedCall {
             start,
--- a/crates/standin/src/ports.rs
+++ b/crates/standin/src/ports.rs
@@ -36,15 +36,15 @@
 /// The receiver of a port may not listen on it yet when the next one is allocated, and of two
 /// processes with the same port one could not start.
 fn bind_free_port() -> Result<(SocketAddr, TcpListener)> {
-    static START: OnceLock<u16> = OnceLock::new();
+    static START_OFFSET: OnceLock<u16> = OnceLock::new();
     static ALLOCATED: AtomicU16 = AtomicU16::new(0);
 
-    let width = PORT_RANGE.end - PORT_RANGE.start;
-    let start = *START.get_or_init(|| rand::random_range(0..width));
+    let range_len = PORT_RANGE.end - PORT_RANGE.start;
+    let start = *START_OFFSET.get_or_init(|| rand::random_range(0..range_len));
     let mut last_error = Error::from(ErrorKind::AddrInUse);
     for _ in 0..MAX_PORT_ATTEMPTS {
-        let step = ALLOCATED.fetch_add(1, Ordering::Relaxed) % width;
-        let port = PORT_RANGE.start + (start + step) % width;
+        let offset = ALLOCATED.fetch_add(1, Ordering::Relaxed) % range_len;
+        let port = PORT_RANGE.start + (start + offset) % range_len;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
         match TcpListener::bind(address) {
             Ok(listener) => return Ok((address, listener)),
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -74,8 +74,8 @@
         let listen = settings.listen;
         let faults = FaultInjector::new(&settings.faults);
         let shared = Arc::new(ServiceShared { settings, runs: RunLog::default(), faults });
-        let calls = Arc::clone(&shared);
-        let handler = Arc::new(move |request| handle(request, &calls));
+        let handler_shared = Arc::clone(&shared);
+        let handler = Arc::new(move |request| handle(request, &handler_shared));
         Ok(Self { listener: HttpListener::start(listen, MAX_OPEN_REQUESTS, handler)?, shared })
     }
 
--- a/crates/standin/src/weights/mod.rs
+++ b/crates/standin/src/weights/mod.rs
@@ -86,8 +86,8 @@
         let listen = settings.listen;
         let shared =
             Arc::new(StoreShared { settings, state: Mutex::default(), slot_freed: Condvar::new() });
-        let calls = Arc::clone(&shared);
-        let handler = Arc::new(move |request| handle(request, &calls));
+        let handler_shared = Arc::clone(&shared);
+        let handler = Arc::new(move |request| handle(request, &handler_shared));
         Ok(Self { listener: HttpListener::start(listen, MAX_OPEN_REQUESTS, handler)?, shared })
     }
 
--- a/crates/standin/tests/stand_ins.rs
+++ b/crates/standin/tests/stand_ins.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn load_finds_nothing_wrong_with_a_sound_engine() {
+fn load_report_is_clean_for_a_correct_engine() {
     let engine = fast_engine(&[]);
 
     let report = short_load(engine.address());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn load_notices_each_fault() {
+fn load_detects_each_fault() {
     // An engine sends the text of another request, repeated parts, or an incomplete answer. A load
     // generator that missed these faults would hide wrong answers to callers.
     let seen: Vec<(u64, u64, u64)> = [FaultKind::Crossed, FaultKind::Doubled, FaultKind::Cut]
