--- a/crates/control/src/lease/book.rs
+++ b/crates/control/src/lease/book.rs
@@ -95,6 +95,6 @@
 
     fn may_decide(&self, now: TimePoint, lease: &EntryLease) -> bool {
         let granted_at = lease.granted_at.unwrap_or(self.elected_at);
-        lease.terms.longest().is_none_or(|longest| now < granted_at.after(longest))
+        lease.terms.max_duration().is_none_or(|max_duration| now < granted_at.after(max_duration))
     }
 }
--- a/crates/control/src/state/command.rs
+++ b/crates/control/src/state/command.rs
@@ -3,8 +3,8 @@
 use briartray_model::lease::LeaseTerms;
 use briartray_model::message::{GroupMember, LedgerReply, LedgerRequest};
 use briartray_model::names::{
-    ChangeId, DomainName, FencingNumber, GroupId, HostName, NodeName, ProviderName, RequestPrint,
-    RevisionNumber, ServiceName, StopId, ZoneName,
+    ChangeId, DomainName, FencingNumber, GroupId, HostName, NodeName, ProviderName,
+    RequestFingerprint, RevisionNumber, ServiceName, StopId, ZoneName,
 };
 use briartray_model::plain_value;
 use briartray_quarantine::QuarantineRecord;
@@ -79,7 +79,7 @@
         /// Serve a quarantined request again.
         LiftQuarantine {
             /// Print of the request.
-            print: RequestPrint,
+            print: RequestFingerprint,
         },
     }
 
@@ -205,12 +205,12 @@
         /// The request is quarantined.
         Quarantined {
             /// Print of the request.
-            print: RequestPrint,
+            print: RequestFingerprint,
         },
         /// The quarantine of the request is lifted.
         QuarantineLifted {
             /// Print of the request.
-            print: RequestPrint,
+            print: RequestFingerprint,
         },
     }
 }
--- a/crates/control/tests/snapshot_log.rs
+++ b/crates/control/tests/snapshot_log.rs
@@ -2,7 +2,7 @@
 
 use briartray_control::snapshots::SnapshotLog;
 use briartray_model::codec::encode;
-use briartray_model::message::{GroupRecord, LeavingMark, RoutingSnapshot, SnapshotUpdate};
+use briartray_model::message::{GroupRecord, LeavingGroup, RoutingSnapshot, SnapshotUpdate};
 use briartray_model::names::{FencingNumber, GroupId, RevisionNumber};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -39,7 +39,7 @@
         _ => {
             snapshot.revision = snapshot.revision.next();
             snapshot.rules = format!("# revision {}", snapshot.revision);
-            snapshot.leaving = vec![LeavingMark { group: GroupId(group) }];
+            snapshot.leaving = vec![LeavingGroup { group: GroupId(group) }];
         }
     }
 }
--- a/crates/fleet/src/message/mod.rs
+++ b/crates/fleet/src/message/mod.rs
@@ -3,7 +3,7 @@
 mod view;
 mod view_history;
 
-use briartray_model::message::{PrintView, RunEvent};
+use briartray_model::message::{FingerprintView, RunEvent};
 use briartray_model::names::{GroupId, IncarnationId, NodeName, ServiceName, TermNumber};
 use briartray_model::plain_value;
 
@@ -107,7 +107,7 @@
         /// view gets no partial one.
         pub view: Option<ViewUpdate>,
         /// Update of the quarantine list, if the entry holds another version.
-        pub prints: Option<PrintView>,
+        pub prints: Option<FingerprintView>,
         /// Rate-limited endpoints with this entry's shares; only in answers to reports.
         pub limits: Vec<EndpointGrant>,
         /// Requests of the other entries on each group, from their latest reports; only in answers
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -7,7 +7,7 @@
 //! epoch, and an order of an earlier leader always has a lower epoch than those of a later one.
 
 use briartray_model::names::{
-    DomainName, GroupId, IncarnationId, RequestPrint, ServiceName, ZoneName,
+    DomainName, GroupId, IncarnationId, RequestFingerprint, ServiceName, ZoneName,
 };
 use briartray_model::{SortedTable, plain_value};
 
@@ -88,7 +88,7 @@
         /// Puts a request in quarantine: it is refused from now on.
         Quarantine(QuarantineRecord),
         /// Ends the quarantine of a request.
-        LiftQuarantine(RequestPrint),
+        LiftQuarantine(RequestFingerprint),
         /// Stops sending to the endpoints of a zone.
         EvacuateZone(ZoneName),
         /// Resumes sending to the endpoints of a zone.
--- a/crates/fleet/tests/agreed_state.rs
+++ b/crates/fleet/tests/agreed_state.rs
@@ -7,7 +7,7 @@
 };
 use briartray_model::codec;
 use briartray_model::names::{
-    DomainName, GroupId, IncarnationId, RequestPrint, ServiceName, ZoneName,
+    DomainName, GroupId, IncarnationId, RequestFingerprint, ServiceName, ZoneName,
 };
 use briartray_quarantine::QuarantineRecord;
 use rand::{RngExt, SeedableRng};
@@ -158,7 +158,7 @@
 #[test]
 fn a_snapshot_carries_the_quarantine() {
     let record = QuarantineRecord {
-        print: RequestPrint(7),
+        print: RequestFingerprint(7),
         rule: "draft".to_owned(),
         team: None,
         endpoints: vec![IncarnationId::new("i-1")],
@@ -169,9 +169,9 @@
     let bytes = codec::encode(&state).expect("the state encodes");
     let mut restored: FleetState = codec::decode(&bytes).expect("it decodes");
 
-    assert!(restored.quarantine().holds(RequestPrint(7)));
-    restored.apply(&FleetCommand::LiftQuarantine(RequestPrint(7)));
-    assert!(!restored.quarantine().holds(RequestPrint(7)));
+    assert!(restored.quarantine().holds(RequestFingerprint(7)));
+    restored.apply(&FleetCommand::LiftQuarantine(RequestFingerprint(7)));
+    assert!(!restored.quarantine().holds(RequestFingerprint(7)));
 }
 
 fn zone(name: &str) -> ZoneName {
--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -6,7 +6,9 @@
 use briartray_fleet::state::StoredPlan;
 use briartray_model::names::ZoneName;
 use briartray_node::metrics::MetricsHub;
-use briartray_platform::{ControlCall, beat_answer, read_beat, read_leave, read_plan, redirect_to};
+use briartray_platform::{
+    ControlCall, heartbeat_response, read_heartbeat, read_leave, read_plan, redirect_to,
+};
 use briartray_web::spawn_worker;
 use bytes::Bytes;
 use http::request::Parts;
@@ -25,7 +27,7 @@
 use super::quarantine_call::{QuarantineCall, quarantine_answer};
 use crate::metrics_port;
 use crate::process::{ProcessError, SetupSnafu};
-use briartray_http::{AnswerBody, HttpServer, ServerLimits};
+use briartray_http::{HttpServer, ResponseBody, ServerLimits};
 
 /// Maximum size of a deployment plan, in bytes: 25 KB hold 110 routes, so thousands of routes fit.
 const MAX_PLAN_BYTES: usize = 4 * 1024 * 1024;
@@ -112,7 +114,7 @@
 }
 
 impl ControlApi {
-    async fn handle(self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn handle(self, request: Request<Incoming>) -> Response<ResponseBody> {
         let call = ControlCall::read(&request);
         let path = request.uri().path().to_owned();
         let (head, body) = request.into_parts();
@@ -132,7 +134,7 @@
                 let reply = self.request_reply(|reply| CoreInput::GetPlan { reply }).await;
                 self.reply_response(&path, reply)
             }
-            ControlCall::Beat { id } => self.heartbeat(&path, &id, &body).await,
+            ControlCall::Heartbeat { id } => self.heartbeat(&path, &id, &body).await,
             ControlCall::Leave { id } => {
                 let id = read_leave(&id, &body);
                 let reply = self.request_reply(|reply| CoreInput::Leave { id, reply }).await;
@@ -154,7 +156,7 @@
         path: &str,
         head: &Parts,
         body: &[u8],
-    ) -> Option<Response<AnswerBody>> {
+    ) -> Option<Response<ResponseBody>> {
         let quarantine =
             QuarantineCall::read(head, body).map(|read| read.map(GatewayCall::Quarantine));
         let evacuation =
@@ -173,7 +175,7 @@
         path: &str,
         zone: ZoneName,
         change: ZoneChange,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let name = zone.to_string();
         let reply = self.request_reply(|reply| CoreInput::ChangeZone { zone, change, reply }).await;
         log::info!(zone = name.as_str();
@@ -181,7 +183,7 @@
         self.reply_response(path, reply)
     }
 
-    async fn put_plan(&self, path: &str, body: Bytes) -> Response<AnswerBody> {
+    async fn put_plan(&self, path: &str, body: Bytes) -> Response<ResponseBody> {
         match read_plan(&body) {
             Ok(plan) => {
                 let plan = StoredPlan::pack(plan.version, &body);
@@ -197,15 +199,16 @@
         }
     }
 
-    async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<AnswerBody> {
-        match read_beat(id, body) {
-            Ok(heartbeat) => match self
-                .request_reply(|reply| CoreInput::Heartbeat { heartbeat, reply })
-                .await
-            {
-                ControlReply::Done => beat_answer(&self.address.to_string()).map(AnswerBody::whole),
-                reply => self.reply_response(path, reply),
-            },
+    async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<ResponseBody> {
+        match read_heartbeat(id, body) {
+            Ok(heartbeat) => {
+                match self.request_reply(|reply| CoreInput::Heartbeat { heartbeat, reply }).await {
+                    ControlReply::Done => {
+                        heartbeat_response(&self.address.to_string()).map(ResponseBody::whole)
+                    }
+                    reply => self.reply_response(path, reply),
+                }
+            }
             Err(error) => {
                 log::warn!(endpoint = id; "refused invalid heartbeat: {error}");
                 error_response(StatusCode::BAD_REQUEST, &error.to_string())
@@ -225,9 +228,9 @@
         }
     }
 
-    fn reply_response(&self, path: &str, reply: ControlReply) -> Response<AnswerBody> {
+    fn reply_response(&self, path: &str, reply: ControlReply) -> Response<ResponseBody> {
         match reply {
-            ControlReply::Done => Response::new(AnswerBody::whole(Vec::new())),
+            ControlReply::Done => Response::new(ResponseBody::whole(Vec::new())),
             ControlReply::Plan(body) => json_answer(body),
             ControlReply::Quarantine(records) => quarantine_answer(&records),
             ControlReply::Evacuated(zones) => evacuation_answer(&zones),
@@ -241,7 +244,7 @@
             }
             ControlReply::RedirectToLeader(node) => {
                 let address = format!("{node}:{}", self.address.port());
-                redirect_to(&address, path).map(AnswerBody::whole)
+                redirect_to(&address, path).map(ResponseBody::whole)
             }
             ControlReply::Unavailable => {
                 error_response(StatusCode::SERVICE_UNAVAILABLE, "no majority answers; try again")
@@ -278,15 +281,15 @@
     }
 }
 
-fn error_response(status: StatusCode, message: &str) -> Response<AnswerBody> {
+fn error_response(status: StatusCode, message: &str) -> Response<ResponseBody> {
     let mut answer = json_answer(json!({ "message": message }).to_string());
     *answer.status_mut() = status;
     answer
 }
 
 /// A response with the JSON document `body`.
-pub(super) fn json_answer(body: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(body));
+pub(super) fn json_answer(body: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(body));
     let json = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, json);
     answer
--- a/crates/gateway/src/control/entry_updates.rs
+++ b/crates/gateway/src/control/entry_updates.rs
@@ -146,7 +146,7 @@
         // State sent on the same stream arrives before any later reply, so it is not sent again.
         // Otherwise each plan would be sent twice, since a report is often in flight meanwhile.
         let known = leadership.entries.remove(&report.node);
-        let known = known.filter(|known| known.writer.is_same(&writer));
+        let known = known.filter(|known| known.writer.is_same_stream(&writer));
         let fresh = || EntrySession::new(now, &report, writer.clone());
         let mut session = known.unwrap_or_else(fresh);
         session.record_report(now, &report);
@@ -163,7 +163,7 @@
         let Some(leadership) = &mut self.leadership else { return self.send_leader_hint(writer) };
         let loads = leadership.director.loads_of_others(report);
         let session = leadership.entries.get_mut(&report.node);
-        let mut session = session.filter(|session| session.writer.is_same(writer));
+        let mut session = session.filter(|session| session.writer.is_same_stream(writer));
         // The session also knows what was sent but is not in the report yet.
         let (held_plan, held_view, held_quarantine) = match &session {
             Some(session) => {
--- a/crates/gateway/src/control/evacuation_call.rs
+++ b/crates/gateway/src/control/evacuation_call.rs
@@ -1,6 +1,6 @@
 //! Operator calls to list and change evacuated zones on the gateway's own paths.
 
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 use briartray_model::names::ZoneName;
 use http::request::Parts;
 use http::{Method, Response};
@@ -64,7 +64,7 @@
 }
 
 /// The response that lists `zones`.
-pub(super) fn evacuation_answer(zones: &[ZoneName]) -> Response<AnswerBody> {
+pub(super) fn evacuation_answer(zones: &[ZoneName]) -> Response<ResponseBody> {
     let zones: Vec<_> = zones.iter().map(|zone| json!({ "zone": zone.as_str() })).collect();
     json_answer(json!(zones).to_string())
 }
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -9,7 +9,7 @@
 use briartray_fleet::message::{EntryReport, HostHello};
 use briartray_fleet::state::StoredPlan;
 use briartray_link::LinkWriter;
-use briartray_model::names::{IncarnationId, NodeName, RequestPrint, ZoneName};
+use briartray_model::names::{IncarnationId, NodeName, RequestFingerprint, ZoneName};
 use briartray_quarantine::QuarantineRecord;
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use serde::{Deserialize, Serialize};
@@ -111,7 +111,7 @@
     /// An operator requests the quarantined requests.
     ListQuarantine { reply: ReplySender },
     /// An operator lifts the quarantine of a request.
-    LiftQuarantine { fingerprint: RequestPrint, reply: ReplySender },
+    LiftQuarantine { fingerprint: RequestFingerprint, reply: ReplySender },
     /// An operator requests the evacuated zones.
     ListEvacuated { reply: ReplySender },
     /// An operator evacuates or readmits a zone.
--- a/crates/gateway/src/control/origin.rs
+++ b/crates/gateway/src/control/origin.rs
@@ -3,7 +3,7 @@
 
 use briartray_fleet::message::EntryReport;
 use briartray_link::LinkWriter;
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 
 use super::input::ReplySender;
 
@@ -23,7 +23,7 @@
     /// The director.
     Director,
     /// The leader's quarantine tracker, about the request with this fingerprint.
-    Quarantine(RequestPrint),
+    Quarantine(RequestFingerprint),
 }
 
 /// Who waits for a confirmation that this host leads.
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use briartray_link::{CallKind, ClientSettings, LinkClient, carry_messages};
+use briartray_link::{CallKind, ClientSettings, LinkClient, forward_messages};
 use briartray_model::SortedTable;
 use briartray_model::names::NodeName;
 use briartray_web::{WORKER_STACK_BYTES, spawn_worker};
@@ -61,7 +61,7 @@
         let (sender, queue) = bounded(MAX_QUEUED_MESSAGES);
         let client = self.client.clone();
         let started = spawn_worker("peer", WORKER_STACK_BYTES, move || {
-            carry_messages(&client, address, CallKind::Core, &queue)
+            forward_messages(&client, address, CallKind::Core, &queue)
         });
         if let Err(error) = started {
             log::error!(
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -4,7 +4,7 @@
 use briartray_fleet::state::{FleetCommand, FleetState};
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 
 use super::core::ControlCore;
 use super::input::ReplySender;
@@ -28,7 +28,7 @@
     }
 
     /// Lifts the quarantine of a request on behalf of an operator.
-    pub(super) fn lift_quarantine(&mut self, fingerprint: RequestPrint, reply: ReplySender) {
+    pub(super) fn lift_quarantine(&mut self, fingerprint: RequestFingerprint, reply: ReplySender) {
         if !self.is_established() {
             return self.redirect(reply);
         }
--- a/crates/gateway/src/control/quarantine_call.rs
+++ b/crates/gateway/src/control/quarantine_call.rs
@@ -1,7 +1,7 @@
 //! Operator calls to list quarantined requests and to lift their quarantine.
 
-use briartray_http::AnswerBody;
-use briartray_model::names::RequestPrint;
+use briartray_http::ResponseBody;
+use briartray_model::names::RequestFingerprint;
 use briartray_quarantine::QuarantineRecord;
 use http::request::Parts;
 use http::{Method, Response};
@@ -29,7 +29,7 @@
     /// List the quarantined requests.
     List,
     /// Lift the quarantine of the request with this fingerprint.
-    Lift(RequestPrint),
+    Lift(RequestFingerprint),
 }
 
 impl QuarantineCall {
@@ -56,12 +56,12 @@
 
 fn read_lift(body: &[u8]) -> Result<QuarantineCall, String> {
     let call: LiftCall = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    let lift = RequestPrint::parse(&call.print).map(QuarantineCall::Lift);
+    let lift = RequestFingerprint::parse(&call.print).map(QuarantineCall::Lift);
     lift.ok_or_else(|| "send a print as the list of the quarantine shows it".to_owned())
 }
 
 /// The response that lists `records`.
-pub(super) fn quarantine_answer(records: &[QuarantineRecord]) -> Response<AnswerBody> {
+pub(super) fn quarantine_answer(records: &[QuarantineRecord]) -> Response<ResponseBody> {
     let records: Vec<_> = records.iter().map(QuarantineRecord::shown).collect();
     json_answer(json!(records).to_string())
 }
--- a/crates/gateway/src/entry/crash_check.rs
+++ b/crates/gateway/src/entry/crash_check.rs
@@ -10,7 +10,7 @@
 
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::{IncarnationId, RequestPrint, TeamName};
+use briartray_model::names::{IncarnationId, RequestFingerprint, TeamName};
 
 use super::dispatch::{SentTo, ServedRequest};
 use super::state::EntryState;
@@ -22,7 +22,7 @@
 /// A request whose connection to the endpoint broke.
 #[derive(Debug, Clone)]
 pub(super) struct BrokenRun {
-    print: RequestPrint,
+    print: RequestFingerprint,
     rule: String,
     team: Option<TeamName>,
     /// When the request was sent to the endpoint.
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -11,8 +11,8 @@
 };
 use briartray_model::TimePoint;
 use briartray_model::message::RunEnd;
-use briartray_model::names::{IncarnationId, RequestPrint, ServiceName, TeamName};
-use briartray_platform::{AnswerHead, CallerHead, DispatchTerms, dispatch_request};
+use briartray_model::names::{IncarnationId, RequestFingerprint, ServiceName, TeamName};
+use briartray_platform::{CallerHead, DispatchHeaders, ResponseHead, dispatch_request};
 use briartray_quarantine::{PrintParts, PrintStanding};
 use bytes::Bytes;
 use http::request::Parts;
@@ -48,7 +48,7 @@
     /// Endpoint that the request was last sent to.
     pub(super) sent_to: Option<SentTo>,
     /// Fingerprint of the request, computed on first use.
-    pub(super) fingerprint: OnceCell<RequestPrint>,
+    pub(super) fingerprint: OnceCell<RequestFingerprint>,
     /// Number of replicas that may have run the request. A replica that reported that it did not
     /// run it does not count towards the rule's maximum number of attempts.
     pub(super) runs: u32,
@@ -110,7 +110,7 @@
 /// A replica's response whose head has been validated and whose body has not been read.
 pub(super) struct LiveAnswer {
     pub(super) exchange: Exchange,
-    pub(super) head: AnswerHead,
+    pub(super) head: ResponseHead,
     pub(super) address: SocketAddr,
     pub(super) guard: TargetGuard,
 }
@@ -131,7 +131,7 @@
     head: &CallerHead,
     team: Option<&TeamName>,
     body: &[u8],
-) -> RequestPrint {
+) -> RequestFingerprint {
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let team = team.map(TeamName::as_str);
     state.fingerprint(&PrintParts { host: &head.host, path, team, body })
@@ -144,7 +144,7 @@
     }
 
     /// Fingerprint of the request, which does not depend on its ID.
-    pub(super) fn fingerprint(&self) -> RequestPrint {
+    pub(super) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             request_fingerprint(
                 &self.state,
@@ -234,7 +234,7 @@
         let guard = TargetGuard::new(&self.state, &choice);
         let request = dispatch_request(
             &self.parts,
-            &DispatchTerms {
+            &DispatchHeaders {
                 endpoint: &choice.endpoint,
                 left: self.time_left().saturating_sub(ANSWER_MARGIN),
                 team: self.team.as_ref(),
@@ -301,8 +301,8 @@
         guard: TargetGuard,
     ) -> Result<LiveAnswer, AttemptFailure> {
         let status = exchange.head.status;
-        let head = AnswerHead::read(status, &exchange.head.headers);
-        if !head.answers(self.head.request_id.as_ref()) {
+        let head = ResponseHead::read(status, &exchange.head.headers);
+        if !head.matches_request(self.head.request_id.as_ref()) {
             log::warn!("response from {address} has the ID of another request; dropping it");
             return Err(self.end_attempt(AttemptEnd::MayHaveRun));
         }
@@ -351,7 +351,7 @@
     /// Returns the connection to the pool if the response was complete and the endpoint keeps it
     /// open.
     pub(super) fn release_connection(self, request: &ServedRequest) {
-        if !self.head.closes {
+        if !self.head.closes_connection {
             let connection = self.exchange.into_connection();
             let (now, limit) = (request.state.now(), self.head.idle_limit);
             let mut pool = request.state.pool.borrow_mut();
--- a/crates/gateway/src/entry/mod.rs
+++ b/crates/gateway/src/entry/mod.rs
@@ -31,7 +31,7 @@
 use crate::metrics_port;
 use crate::process::{ProcessError, SetupSnafu};
 use crate::settings::{EntryRole, GatewaySettings};
-use briartray_http::{AnswerBody, HttpServer, ServerLimits};
+use briartray_http::{HttpServer, ResponseBody, ServerLimits};
 
 /// Stack size of the traffic thread, in bytes.
 const TRAFFIC_STACK_BYTES: usize = 2 * 1024 * 1024;
@@ -139,14 +139,14 @@
     let _ = end.send(all_closed);
 }
 
-fn readiness_response(state: &EntryState, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn readiness_response(state: &EntryState, request: &Request<Incoming>) -> Response<ResponseBody> {
     let is_readiness = request.uri().path() == briartray_platform::READINESS_PATH;
     let status = match (is_readiness, state.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         (false, _) => StatusCode::NOT_FOUND,
     };
-    let mut answer = Response::new(AnswerBody::whole(Vec::new()));
+    let mut answer = Response::new(ResponseBody::whole(Vec::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/gateway/src/entry/refusal.rs
+++ b/crates/gateway/src/entry/refusal.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use serde_json::json;
 
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 
 /// Upper bound for the retry delay when endpoints have rate limits.
 const MAX_LIMIT_DELAY: Duration = Duration::from_secs(5);
@@ -138,13 +138,13 @@
 }
 
 /// The response for `kind`.
-pub(super) fn refuse(kind: RefusalKind) -> Response<AnswerBody> {
+pub(super) fn refuse(kind: RefusalKind) -> Response<ResponseBody> {
     let outcome = match kind {
         RefusalKind::TimedOut | RefusalKind::Unknown => "unknown",
         _ => "not_run",
     };
     let body = json!({ "code": kind.code(), "message": kind.message(), "outcome": outcome });
-    let mut answer = Response::new(AnswerBody::whole(body.to_string()));
+    let mut answer = Response::new(ResponseBody::whole(body.to_string()));
     *answer.status_mut() = kind.status();
     // Read by the code that counts and logs the response.
     answer.extensions_mut().insert(kind);
--- a/crates/gateway/src/entry/serve.rs
+++ b/crates/gateway/src/entry/serve.rs
@@ -19,7 +19,7 @@
 use super::refusal::{RefusalKind, refuse};
 use super::state::EntryState;
 use super::{stream_relay, whole_answer};
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 
 /// Maximum number of idle connections to one endpoint.
 const MAX_IDLE_CONNECTIONS: usize = 16;
@@ -31,7 +31,7 @@
 pub(super) async fn handle(
     state: Rc<EntryState>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let _running = state.begin_request();
     let arrived = state.now();
     let (parts, body) = request.into_parts();
@@ -54,7 +54,7 @@
     state: &EntryState,
     id: Option<&HeaderValue>,
     arrived: TimePoint,
-    answer: &Response<AnswerBody>,
+    answer: &Response<ResponseBody>,
 ) {
     let refused = answer.extensions().get::<RefusalKind>().map(|kind| kind.code());
     let outcome =
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -12,8 +12,8 @@
 use briartray_fleet::limit::LimitHeader;
 use briartray_fleet::message::{EntryNotice, EntryReport, ModelDemand, WorkSum};
 use briartray_fleet::state::StoredPlan;
-use briartray_model::message::PrintView;
-use briartray_model::names::{IncarnationId, NodeName, RequestPrint, ServiceName};
+use briartray_model::message::FingerprintView;
+use briartray_model::names::{IncarnationId, NodeName, RequestFingerprint, ServiceName};
 use briartray_model::{SortedTable, TimePoint};
 use briartray_node::ClockReader;
 use briartray_platform::CallerHead;
@@ -272,7 +272,7 @@
         let Some(engine) = engine else { return };
         let Some(spec) = engine.model(model) else { return };
         // The caller's token limit is a poor estimate: it is three times the usual response length.
-        let answer = head.answer_guess.unwrap_or(engine.usual_answer);
+        let answer = head.output_estimate.unwrap_or(engine.usual_answer);
         let reading = engine.prefill_ms(tokens.prompt) * spec.pace;
         let millis = |time: Duration| time.as_secs_f64() * 1e3;
         let sum = WorkSum {
@@ -331,7 +331,7 @@
         self.notice_notify.notify_waiters();
     }
 
-    fn adopt_quarantine(&self, view: PrintView) {
+    fn adopt_quarantine(&self, view: FingerprintView) {
         let (quarantined, suspects) = (view.quarantined.len(), view.suspects.len());
         if quarantined + suspects > 0 || self.quarantine_guard.borrow().is_watching() {
             log::info!(quarantined, suspects; "quarantine changed");
@@ -360,12 +360,12 @@
     }
 
     /// Computes the fingerprint of a request from `parts`.
-    pub(super) fn fingerprint(&self, parts: &PrintParts<'_>) -> RequestPrint {
+    pub(super) fn fingerprint(&self, parts: &PrintParts<'_>) -> RequestFingerprint {
         self.fingerprint_key.print(parts)
     }
 
     /// Quarantine status of a request; `compute` returns its fingerprint.
-    pub(super) fn standing(&self, compute: impl FnOnce() -> RequestPrint) -> PrintStanding {
+    pub(super) fn standing(&self, compute: impl FnOnce() -> RequestFingerprint) -> PrintStanding {
         let guard = self.quarantine_guard.borrow();
         // A fingerprint needs a pass over the body, so it is computed only after crashes.
         if guard.is_watching() { guard.standing(compute()) } else { PrintStanding::Clear }
--- a/crates/gateway/src/entry/stream_relay.rs
+++ b/crates/gateway/src/entry/stream_relay.rs
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 
 use briartray_fleet::entry::{AttemptEnd, EventSplitter, NextStep, StreamEvent};
-use briartray_platform::answer_headers;
+use briartray_platform::response_headers;
 use bytes::Bytes;
 use http::Response;
 use http::response::Parts;
@@ -19,7 +19,7 @@
 use super::refusal::{RefusalKind, refuse};
 use super::stream_clock::StreamClock;
 use super::whole_answer::refusal_without_target;
-use briartray_http::{AnswerBody, BodySender, StreamCut};
+use briartray_http::{BodySender, ResponseBody, TruncatedStream};
 
 /// A stream in progress.
 struct LiveStream {
@@ -46,12 +46,12 @@
 }
 
 /// Serves `request` as an event stream.
-pub(super) async fn serve(mut request: ServedRequest) -> Response<AnswerBody> {
+pub(super) async fn serve(mut request: ServedRequest) -> Response<ResponseBody> {
     let last = request.head.last_event;
     match open_stream(&mut request, last).await {
         Ok((stream, first)) => {
             let head = status_and_headers(&stream.answer.exchange.head);
-            let (sender, body) = AnswerBody::parts();
+            let (sender, body) = ResponseBody::parts();
             let last = first.as_ref().and_then(|event| event.id).or(last);
             let position = StreamPosition { last, clock: StreamClock::new(request.arrived) };
             tokio::task::spawn_local(forward_stream(request, stream, first, position, sender));
@@ -72,20 +72,23 @@
 }
 
 fn status_and_headers(head: &Parts) -> (http::StatusCode, http::HeaderMap) {
-    (head.status, answer_headers(&head.headers))
+    (head.status, response_headers(&head.headers))
 }
 
 /// Forwards a replica's error response unchanged.
-async fn forward_other_answer(request: &ServedRequest, answer: LiveAnswer) -> Response<AnswerBody> {
+async fn forward_other_answer(
+    request: &ServedRequest,
+    answer: LiveAnswer,
+) -> Response<ResponseBody> {
     let LiveAnswer { exchange, guard, .. } = answer;
     let limit = request.time_left();
     let whole = tokio::time::timeout(limit, exchange.whole()).await;
     drop(guard);
     match whole {
         Ok(Ok((head, body, _))) => {
-            let mut response = Response::new(AnswerBody::whole(body));
+            let mut response = Response::new(ResponseBody::whole(body));
             *response.status_mut() = head.status;
-            *response.headers_mut() = answer_headers(&head.headers);
+            *response.headers_mut() = response_headers(&head.headers);
             response
         }
         _ => refuse(RefusalKind::Unknown),
@@ -253,7 +256,7 @@
             log::warn!(request = request.request_id(), after;
                 "stream cannot be resumed; cutting it off");
         }
-        let _ = sender.send(Err(StreamCut)).await;
+        let _ = sender.send(Err(TruncatedStream)).await;
     }
 }
 
--- a/crates/gateway/src/entry/whole_answer.rs
+++ b/crates/gateway/src/entry/whole_answer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briartray_fleet::entry::{AttemptEnd, ChoiceRefusal, NextStep};
-use briartray_platform::answer_headers;
+use briartray_platform::response_headers;
 use bytes::Bytes;
 use http::Response;
 use http::response::Parts;
@@ -11,7 +11,7 @@
 use super::crash_check;
 use super::dispatch::{AttemptFailure, ServedRequest};
 use super::refusal::{RefusalKind, refuse};
-use briartray_http::AnswerBody;
+use briartray_http::ResponseBody;
 
 /// Timeout of a first attempt that may be retried, as a multiple of the rule's target latency. A
 /// hung replica gives no sign; the slowest 10 % of healthy responses take twice the target latency.
@@ -24,7 +24,7 @@
 }
 
 /// Serves `request`, with retries where they are allowed.
-pub(super) async fn serve(mut request: ServedRequest) -> Response<AnswerBody> {
+pub(super) async fn serve(mut request: ServedRequest) -> Response<ResponseBody> {
     let mut failed_answer = None;
     loop {
         let end = match attempt(&mut request).await {
@@ -117,9 +117,9 @@
     }
 }
 
-fn forward_answer(answer: WholeAnswer) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(answer.body));
+fn forward_answer(answer: WholeAnswer) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::whole(answer.body));
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = answer_headers(&answer.head.headers);
+    *response.headers_mut() = response_headers(&answer.head.headers);
     response
 }
--- a/crates/gateway/src/metrics_port.rs
+++ b/crates/gateway/src/metrics_port.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use briartray_http::{AnswerBody, HttpServer, ServerLimits};
+use briartray_http::{HttpServer, ResponseBody, ServerLimits};
 use briartray_node::metrics::{METRICS_TYPE, MetricsHub};
 use http::{HeaderValue, Response, StatusCode, header};
 use tokio::net::TcpListener;
@@ -37,15 +37,15 @@
     }))
 }
 
-fn metrics_response(hub: &MetricsHub) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(hub.render()));
+fn metrics_response(hub: &MetricsHub) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(hub.render()));
     let content_type = HeaderValue::from_static(METRICS_TYPE);
     answer.headers_mut().insert(header::CONTENT_TYPE, content_type);
     answer
 }
 
-fn not_found_response() -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(Vec::new()));
+fn not_found_response() -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(Vec::new()));
     *answer.status_mut() = StatusCode::NOT_FOUND;
     answer
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -14,21 +14,21 @@
 /// The stream ends before its answer does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 #[snafu(display("the answer broke off; it must not look complete"))]
-pub struct StreamCut;
+pub struct TruncatedStream;
 
 /// Feeds a stream of events.
-pub type BodySender = mpsc::Sender<Result<Bytes, StreamCut>>;
+pub type BodySender = mpsc::Sender<Result<Bytes, TruncatedStream>>;
 
 /// A whole body, or one that comes in parts.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it.
     Whole(Option<Bytes>),
     /// Parts as they come; ends without its end mark when one of them is an error.
-    Parts(mpsc::Receiver<Result<Bytes, StreamCut>>),
+    Parts(mpsc::Receiver<Result<Bytes, TruncatedStream>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// A body of `bytes`.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
@@ -41,14 +41,14 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = StreamCut;
+    type Error = TruncatedStream;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, StreamCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedStream>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Parts(parts) => {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -5,7 +5,7 @@
 mod pool;
 mod server;
 
-pub use body::{AnswerBody, BodySender, StreamCut};
+pub use body::{BodySender, ResponseBody, TruncatedStream};
 pub use connection::{EndpointConnection, Exchange, SendFailure, is_refused};
 pub use pool::{ConnectionPool, connect};
 pub use server::{HttpServer, ServerLimits};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::AnswerBody;
+use super::ResponseBody;
 
 /// Wait after a failed accept, as when descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -41,7 +41,7 @@
     pub fn start<H, F>(listener: TcpListener, limits: ServerLimits, handle: H) -> Self
     where
         H: Fn(Request<Incoming>) -> F + Clone + 'static,
-        F: Future<Output = Response<AnswerBody>> + 'static,
+        F: Future<Output = Response<ResponseBody>> + 'static,
     {
         let (stop, stopped) = watch::channel(false);
         let open = Rc::new(Cell::new(0));
@@ -69,7 +69,7 @@
     open: Rc<Cell<usize>>,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     loop {
         let accepted = tokio::select! {
@@ -103,7 +103,7 @@
     open: Rc<Cell<usize>>,
 ) where
     H: Fn(Request<Incoming>) -> F + 'static,
-    F: Future<Output = Response<AnswerBody>> + 'static,
+    F: Future<Output = Response<ResponseBody>> + 'static,
 {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("a connection of {peer} is sent larger pieces: {error}");
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use crate::connection::{PathProof, is_answered, watch_path};
+use crate::connection::{PathLiveness, is_answered, watch_path};
 use crate::stream::{LinkReader, LinkWriter, StreamEnds, pair, pump_in, pump_out};
 use crate::{CallKind, LinkError, PROTOCOL_VERSION, TOKEN_HEADER, VERSION_HEADER};
 
@@ -260,7 +260,7 @@
     let _ = events.send(PoolEvent::Opened(address, generation, Ok(sender)));
     tokio::select! {
         _ = connection => {}
-        () = watch_path(ping, PathProof::new()) => log::warn!("link to {address} went silent"),
+        () = watch_path(ping, PathLiveness::new()) => log::warn!("link to {address} went silent"),
     }
     let _ = events.send(PoolEvent::Closed(address, generation));
 }
--- a/crates/link/src/connection.rs
+++ b/crates/link/src/connection.rs
@@ -17,11 +17,11 @@
 /// is kept here. Without it a message that was held up on the way for minutes looks like a fresh
 /// one, and an order could run after its sender was told that it never would.
 #[derive(Debug, Clone)]
-pub struct PathProof {
+pub struct PathLiveness {
     sent: Arc<Mutex<Instant>>,
 }
 
-impl PathProof {
+impl PathLiveness {
     /// A proof that holds from now.
     ///
     /// The side that accepts may count from accepting, because the side that connects sends
@@ -41,18 +41,18 @@
     }
 }
 
-/// Sends pings until one goes unanswered; notes each answer in `proof`.
+/// Sends pings until one goes unanswered; notes each answer in `liveness`.
 ///
 /// A middlebox may lose track of a connection: both ends keep it open, nothing arrives and no
 /// error is raised. Only an answer from the other end shows that the path still works.
-pub(crate) async fn watch_path(mut ping: PingPong, proof: PathProof) {
+pub(crate) async fn watch_path(mut ping: PingPong, liveness: PathLiveness) {
     loop {
         tokio::time::sleep(PING_INTERVAL).await;
         let sent = Instant::now();
         if !is_answered(&mut ping, PING_TIMEOUT).await {
             return;
         }
-        proof.renew(sent);
+        liveness.renew(sent);
     }
 }
 
--- a/crates/link/src/courier.rs
+++ b/crates/link/src/courier.rs
@@ -15,7 +15,7 @@
 ///
 /// After a stream has broken, what waited meanwhile is dropped: the protocols above send again what
 /// still counts, and old messages would only hold up new ones.
-pub fn carry_messages<T: Serialize>(
+pub fn forward_messages<T: Serialize>(
     client: &LinkClient,
     address: SocketAddr,
     kind: CallKind,
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -13,8 +13,8 @@
 mod stream;
 
 pub use client::{ClientSettings, LinkClient};
-pub use connection::PathProof;
-pub use courier::carry_messages;
+pub use connection::PathLiveness;
+pub use courier::forward_messages;
 pub use error::LinkError;
 pub use frame::MAX_FRAME_BYTES;
 pub use server::{LinkServer, LinkStream};
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::client::{CONNECTION_WINDOW, STREAM_WINDOW};
-use crate::connection::{PathProof, watch_path};
+use crate::connection::{PathLiveness, watch_path};
 use crate::stream::{LinkReader, LinkWriter, pair, pump_in, pump_out};
 use crate::{CallKind, LinkError, PROTOCOL_VERSION, TOKEN_HEADER, VERSION_HEADER};
 
@@ -34,7 +34,7 @@
     /// Receives requests.
     pub reader: LinkReader,
     /// Bounds how long a request can have been on its way.
-    pub proof: PathProof,
+    pub liveness: PathLiveness,
 }
 
 /// Listens for streams of other processes.
@@ -125,7 +125,7 @@
     if socket.set_nodelay(true).is_err() {
         return;
     }
-    let proof = PathProof::new();
+    let liveness = PathLiveness::new();
     let handshake = h2::server::Builder::new()
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
@@ -136,11 +136,11 @@
         return;
     };
     let Some(ping) = connection.ping_pong() else { return };
-    let mut silent = std::pin::pin!(watch_path(ping, proof.clone()));
+    let mut silent = std::pin::pin!(watch_path(ping, liveness.clone()));
     loop {
         tokio::select! {
             accepted = connection.accept() => match accepted {
-                Some(Ok((request, respond))) => accept_stream(request, respond, from, shared, &proof),
+                Some(Ok((request, respond))) => accept_stream(request, respond, from, shared, &liveness),
                 Some(Err(_)) | None => return,
             },
             () = &mut silent => {
@@ -156,7 +156,7 @@
     mut respond: SendResponse<Bytes>,
     from: SocketAddr,
     shared: &ServerShared,
-    proof: &PathProof,
+    liveness: &PathLiveness,
 ) {
     let kind = match check_request(&request, &shared.token) {
         Ok(kind) => kind,
@@ -170,7 +170,7 @@
     let (writer, reader, ends) = pair();
     tokio::spawn(pump_out(ends.outgoing, body));
     tokio::spawn(pump_in(request.into_body(), ends.incoming));
-    (shared.handler)(LinkStream { kind, from, writer, reader, proof: proof.clone() });
+    (shared.handler)(LinkStream { kind, from, writer, reader, liveness: liveness.clone() });
 }
 
 /// Refuses strangers and other versions before any message is read.
--- a/crates/link/src/stream.rs
+++ b/crates/link/src/stream.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether `other` writes to the same stream.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn is_same_stream(&self, other: &Self) -> bool {
         self.frames.same_channel(&other.frames)
     }
 
--- a/crates/model/src/lease.rs
+++ b/crates/model/src/lease.rs
@@ -55,12 +55,12 @@
 
     /// Time from its request for which an entry may decide; `None` without a bound.
     pub fn usable(&self) -> Option<Duration> {
-        self.longest().map(|longest| longest - longest / DRIFT_DIVISOR)
+        self.max_duration().map(|max_duration| max_duration - max_duration / DRIFT_DIVISOR)
     }
 
     /// Time from its answer for which the leader must reckon with the entry; `None` without a
     /// bound.
-    pub fn longest(&self) -> Option<Duration> {
+    pub fn max_duration(&self) -> Option<Duration> {
         match self.hold {
             HoldPolicy::BoundedMs(hold) => Some(self.lease.max(Duration::from_millis(hold))),
             HoldPolicy::UntilForgotten => None,
--- a/crates/model/src/message/mod.rs
+++ b/crates/model/src/message/mod.rs
@@ -22,8 +22,8 @@
     ClaimKey, KeptAnswer, KeptBody, LedgerAnswer, LedgerCall, LedgerReply, LedgerRequest,
     MAX_KEPT_ANSWER_BYTES, MAX_KEY_BYTES, call_digest,
 };
-pub use quarantine::{PrintView, RunEnd, RunEvent, ViewVersion};
+pub use quarantine::{FingerprintView, RunEnd, RunEvent, ViewVersion};
 pub use update::{RuleText, SnapshotChange, SnapshotUpdate};
 pub use watch::{
-    GroupRecord, LeavingMark, LimitDemand, LimitGrant, RoutingSnapshot, WatchReply, WatchRequest,
+    GroupRecord, LeavingGroup, LimitDemand, LimitGrant, RoutingSnapshot, WatchReply, WatchRequest,
 };
--- a/crates/model/src/message/quarantine.rs
+++ b/crates/model/src/message/quarantine.rs
@@ -1,6 +1,6 @@
 //! Runs that say something about their requests, and the requests that are refused for it.
 
-use crate::names::{IncarnationId, RequestPrint, TeamName, TermNumber};
+use crate::names::{IncarnationId, RequestFingerprint, TeamName, TermNumber};
 
 plain_choice! {
     /// Which view of a leader somebody holds: the leader's term, and the number of the view in that term.
@@ -34,7 +34,7 @@
     /// One run that an entry reports.
     pub struct RunEvent {
         /// The request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
         /// Time since the run ended, in milliseconds.
         pub age_ms: u64,
         /// How it ended.
@@ -43,12 +43,12 @@
 
     /// What entries are told of the quarantine.
     #[derive(Default)]
-    pub struct PrintView {
+    pub struct FingerprintView {
         /// Which view this is.
         pub version: ViewVersion,
         /// Requests that are refused, in order.
-        pub quarantined: Vec<RequestPrint>,
+        pub quarantined: Vec<RequestFingerprint>,
         /// Requests that may have to be quarantined, in order.
-        pub suspects: Vec<RequestPrint>,
+        pub suspects: Vec<RequestFingerprint>,
     }
 }
--- a/crates/model/src/message/update.rs
+++ b/crates/model/src/message/update.rs
@@ -2,7 +2,7 @@
 
 use crate::names::{GroupId, RevisionNumber};
 
-use super::watch::{GroupRecord, LeavingMark, RoutingSnapshot};
+use super::watch::{GroupRecord, LeavingGroup, RoutingSnapshot};
 
 plain_value! {
     /// A newer snapshot, whole or as changes.
@@ -26,7 +26,7 @@
         /// Groups that are gone, in id order.
         pub gone: Vec<GroupId>,
         /// All leaving marks, when they are different.
-        pub leaving: Option<Vec<LeavingMark>>,
+        pub leaving: Option<Vec<LeavingGroup>>,
     }
 
     /// A rule document with its revision.
--- a/crates/model/src/message/watch.rs
+++ b/crates/model/src/message/watch.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::quarantine::{PrintView, RunEvent, ViewVersion};
+use super::quarantine::{FingerprintView, RunEvent, ViewVersion};
 use super::update::SnapshotUpdate;
 use crate::lease::LeaseTerms;
 use crate::names::{
@@ -75,7 +75,7 @@
         /// Shares of the limits that were asked for.
         pub shares: Vec<LimitGrant>,
         /// The quarantine, when the watcher holds another view of it.
-        pub prints: Option<PrintView>,
+        pub prints: Option<FingerprintView>,
     }
 
     /// Everything an entry needs to decide.
@@ -90,7 +90,7 @@
         /// Groups that exist, in id order.
         pub groups: Vec<GroupRecord>,
         /// Endpoints that are leaving.
-        pub leaving: Vec<LeavingMark>,
+        pub leaving: Vec<LeavingGroup>,
     }
 
     /// One group as entries see it.
@@ -120,7 +120,7 @@
     }
 
     /// A group that takes no new work.
-    pub struct LeavingMark {
+    pub struct LeavingGroup {
         /// Which group.
         pub group: GroupId,
     }
--- a/crates/model/src/names/mod.rs
+++ b/crates/model/src/names/mod.rs
@@ -48,5 +48,5 @@
     /// One change sent by an operator; a resend carries the same id.
     ChangeId;
     /// What a caller asks for, whatever id a copy of the request has.
-    RequestPrint;
+    RequestFingerprint;
 }
--- a/crates/model/tests/decoders.rs
+++ b/crates/model/tests/decoders.rs
@@ -9,13 +9,13 @@
 use briartray_model::lease::{HoldPolicy, LeaseTerms};
 use briartray_model::message::{
     AgentReply, AgentReport, CallTarget, ClaimKey, ControlDirective, DispatchOrder, EntryRequest,
-    GroupAssignment, GroupMember, GroupRecord, HeaderField, LedgerAnswer, LedgerReply,
-    LedgerRequest, LimitDemand, LimitGrant, LoadReport, MemberReply, MemberRequest, PrintView,
+    FingerprintView, GroupAssignment, GroupMember, GroupRecord, HeaderField, LedgerAnswer,
+    LedgerReply, LedgerRequest, LimitDemand, LimitGrant, LoadReport, MemberReply, MemberRequest,
     RefusalReason, RoutingSnapshot, RunEnd, RunEvent, SnapshotUpdate, TraceContext, ViewVersion,
     WatchReply, WatchRequest,
 };
 use briartray_model::names::{
-    AttemptId, FencingNumber, GroupId, IncarnationId, LeaseNonce, RequestId, RequestPrint,
+    AttemptId, FencingNumber, GroupId, IncarnationId, LeaseNonce, RequestFingerprint, RequestId,
     RevisionNumber,
 };
 use briartray_model::rules::RuleDocument;
@@ -159,7 +159,7 @@
         }],
         prints: ViewVersion::default(),
         runs: vec![RunEvent {
-            print: RequestPrint(7),
+            print: RequestFingerprint(7),
             age_ms: 5,
             end: RunEnd::Crashed {
                 endpoint: IncarnationId::new("host-1"),
@@ -179,7 +179,10 @@
             running: Some(4),
             rate: None,
         }],
-        prints: Some(PrintView { quarantined: vec![RequestPrint(7)], ..PrintView::default() }),
+        prints: Some(FingerprintView {
+            quarantined: vec![RequestFingerprint(7)],
+            ..FingerprintView::default()
+        }),
     });
     feed(&LedgerRequest::Claim { key, digest: [7; 32], attempt: AttemptId(7) });
     feed(&LedgerReply::Pending { attempt: AttemptId(7) });
--- a/crates/node/src/agent/serve.rs
+++ b/crates/node/src/agent/serve.rs
@@ -37,7 +37,7 @@
         EntryRequest::Dispatch(order) => dispatch(order, shared, stream),
         EntryRequest::Resume { attempt, offset } => resume(attempt, offset, shared, stream),
         EntryRequest::Tombstone { attempt, age_ms } => {
-            let age = Duration::from_millis(age_ms.into()) + stream.proof.age();
+            let age = Duration::from_millis(age_ms.into()) + stream.liveness.age();
             let state = shared.attempts().tombstone(shared.clock.now(), attempt, age);
             send_tombstone_state(&stream.writer, shared, attempt, state)
         }
@@ -77,7 +77,7 @@
     if let Some(reason) = shared.refusal_reason(&order) {
         return send_refusal(&stream.writer, shared, attempt, reason);
     }
-    let begun = shared.attempts().begin(shared.clock.now(), attempt, stream.proof.age());
+    let begun = shared.attempts().begin(shared.clock.now(), attempt, stream.liveness.age());
     let reason = match begun {
         BeginDecision::Start => return start_call(order, slot, shared, stream, span),
         BeginDecision::Duplicate => {
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -13,7 +13,7 @@
 use briartray_link::LinkWriter;
 use briartray_model::lease::LEASE_LENGTH;
 use briartray_model::message::{
-    LeavingMark, LimitGrant, RoutingSnapshot, WatchReply, WatchRequest,
+    LeavingGroup, LimitGrant, RoutingSnapshot, WatchReply, WatchRequest,
 };
 use briartray_model::names::TermNumber;
 use briartray_model::rules::RuleBook;
@@ -393,7 +393,7 @@
                 .stops
                 .leaving()
                 .iter()
-                .map(|group| LeavingMark { group: *group })
+                .map(|group| LeavingGroup { group: *group })
                 .collect(),
         }
     }
--- a/crates/node/src/control/operator.rs
+++ b/crates/node/src/control/operator.rs
@@ -6,8 +6,8 @@
 use briartray_control::agreement::ProposalRefusal;
 use briartray_control::state::{CommandOutcome, ControlCommand, StopPlan, StopTarget};
 use briartray_model::names::{
-    ChangeId, GroupId, HostName, NodeName, ProviderName, RequestPrint, RevisionNumber, StopId,
-    ZoneName,
+    ChangeId, GroupId, HostName, NodeName, ProviderName, RequestFingerprint, RevisionNumber,
+    StopId, ZoneName,
 };
 use briartray_model::settings::ControlSettings;
 use briartray_web::{
@@ -87,7 +87,7 @@
 
 impl LiftQuarantineBody {
     fn into_command(self) -> Result<ControlCommand, String> {
-        let print = RequestPrint::parse(&self.print);
+        let print = RequestFingerprint::parse(&self.print);
         let remedy = "send a fingerprint as shown in the list of the quarantine";
         Ok(ControlCommand::LiftQuarantine { print: print.ok_or(remedy)? })
     }
--- a/crates/node/src/control/origin.rs
+++ b/crates/node/src/control/origin.rs
@@ -4,7 +4,7 @@
 use briartray_control::state::CommandOutcome;
 use briartray_link::LinkWriter;
 use briartray_model::message::{LedgerReply, WatchRequest};
-use briartray_model::names::{NodeName, RequestPrint, RevisionNumber};
+use briartray_model::names::{NodeName, RequestFingerprint, RevisionNumber};
 use crossbeam::channel::Sender;
 use serde_json::Value;
 
@@ -24,7 +24,7 @@
     /// An entry that must be registered before its renewal is answered.
     Entry(WatchRequest, LinkWriter),
     /// The quarantine tracker of the leader.
-    Quarantine(RequestPrint),
+    Quarantine(RequestFingerprint),
     /// The leader on its own, for an entry that is leaving; nothing waits for the outcome.
     NoReply,
 }
--- a/crates/node/src/control/peers.rs
+++ b/crates/node/src/control/peers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briartray_control::agreement::PeerMessage;
-use briartray_link::{CallKind, ClientSettings, LinkClient, carry_messages};
+use briartray_link::{CallKind, ClientSettings, LinkClient, forward_messages};
 use briartray_model::SortedTable;
 use briartray_model::names::NodeName;
 use briartray_model::settings::ControlPeer;
@@ -38,7 +38,7 @@
             let (sender, queue) = bounded(PEER_QUEUE_CAPACITY);
             let (client, address) = (client.clone(), peer.link);
             spawn_worker("peer", WORKER_STACK_BYTES, move || {
-                carry_messages(&client, address, CallKind::Peer, &queue)
+                forward_messages(&client, address, CallKind::Peer, &queue)
             })?;
             queues.insert(peer.node.clone(), sender);
         }
--- a/crates/node/src/control/quarantine.rs
+++ b/crates/node/src/control/quarantine.rs
@@ -2,7 +2,7 @@
 
 use briartray_control::state::ControlCommand;
 use briartray_model::TimePoint;
-use briartray_model::message::{PrintView, WatchRequest};
+use briartray_model::message::{FingerprintView, WatchRequest};
 use briartray_quarantine::QuarantineRecord;
 use serde_json::{Value, json};
 
@@ -16,7 +16,7 @@
         &mut self,
         now: TimePoint,
         request: &WatchRequest,
-    ) -> Option<PrintView> {
+    ) -> Option<FingerprintView> {
         for event in &request.runs {
             self.quarantine.take(now, event, &self.state.quarantine);
         }
--- a/crates/node/src/entry/quarantine.rs
+++ b/crates/node/src/entry/quarantine.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use briartray_model::TimePoint;
-use briartray_model::message::{PrintView, RunEnd, RunEvent, ViewVersion};
-use briartray_model::names::{IncarnationId, RequestPrint, RuleName, TeamName};
+use briartray_model::message::{FingerprintView, RunEnd, RunEvent, ViewVersion};
+use briartray_model::names::{IncarnationId, RequestFingerprint, RuleName, TeamName};
 use briartray_quarantine::{EvidenceLog, PrintGuard, PrintKey, PrintParts, PrintStanding};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
@@ -92,7 +92,7 @@
     }
 
     /// Handles the answer of a confirmed leader to the renewal with `nonce`.
-    pub(super) fn on_renewal_answer(&self, nonce: u64, view: Option<PrintView>) {
+    pub(super) fn on_renewal_answer(&self, nonce: u64, view: Option<FingerprintView>) {
         let mut state = self.state();
         state.runs.confirmed(nonce);
         let Some(view) = view else { return };
@@ -103,17 +103,17 @@
         }
     }
 
-    fn record_event(&self, now: TimePoint, print: RequestPrint, end: RunEnd) {
+    fn record_event(&self, now: TimePoint, print: RequestFingerprint, end: RunEnd) {
         self.state().runs.note(now, print, end);
         // One pending wake-up is enough, so a full channel is no error.
         let _ = self.wake_up.0.try_send(());
     }
 
-    fn print_of(&self, plan: &CallPlan) -> RequestPrint {
+    fn print_of(&self, plan: &CallPlan) -> RequestFingerprint {
         self.print(&plan.target.path, &plan.team, &plan.body)
     }
 
-    fn print(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestPrint {
+    fn print(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestFingerprint {
         // Callers may use any host name for an entry, so only the team distinguishes them.
         self.key.print(&PrintParts { host: "", path, team: Some(team.as_str()), body })
     }
--- a/crates/quarantine/src/crash_book.rs
+++ b/crates/quarantine/src/crash_book.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briartray_model::message::{RunEnd, RunEvent};
-use briartray_model::names::{IncarnationId, RequestPrint, TeamName};
+use briartray_model::names::{IncarnationId, RequestFingerprint, TeamName};
 use briartray_model::{SortedTable, TimePoint};
 
 use super::{FATAL_CRASHES, QuarantineRecord, SUSPECT_CRASHES};
@@ -51,7 +51,7 @@
 /// Crashes by request.
 #[derive(Debug, Clone, Default)]
 pub struct CrashBook {
-    records: SortedTable<RequestPrint, PrintRecord>,
+    records: SortedTable<RequestFingerprint, PrintRecord>,
 }
 
 impl CrashBook {
@@ -98,14 +98,14 @@
     }
 
     /// Records that the proposal to quarantine `print` was lost, so that it is repeated.
-    pub fn lost(&mut self, print: RequestPrint) {
+    pub fn lost(&mut self, print: RequestFingerprint) {
         if let Some(record) = self.records.get_mut(&print) {
             record.proposed = false;
         }
     }
 
     /// Ignores all crashes of `print` before `now`, including those that entries still report.
-    pub fn clear(&mut self, now: TimePoint, print: RequestPrint) {
+    pub fn clear(&mut self, now: TimePoint, print: RequestFingerprint) {
         self.record_whole_run(print, time_before(now, Duration::ZERO));
         if let Some(record) = self.records.get_mut(&print) {
             record.proposed = false;
@@ -113,14 +113,14 @@
     }
 
     /// Forgets a request because it is now in quarantine.
-    pub fn forget(&mut self, print: RequestPrint) {
+    pub fn forget(&mut self, print: RequestFingerprint) {
         self.records.remove(&print);
     }
 
     /// Requests that may have to be quarantined, in ascending order. If there are too many, those
     /// with the most recent crashes.
-    pub fn suspects(&self) -> Vec<RequestPrint> {
-        let mut suspects: Vec<(TimePoint, RequestPrint)> = self
+    pub fn suspects(&self) -> Vec<RequestFingerprint> {
+        let mut suspects: Vec<(TimePoint, RequestFingerprint)> = self
             .records
             .iter()
             .filter(|(_, record)| record.distinct_crashes() >= SUSPECT_CRASHES)
@@ -128,7 +128,8 @@
             .collect();
         suspects.sort_unstable_by(|a, b| b.cmp(a));
         suspects.truncate(MAX_SUSPECTS);
-        let mut prints: Vec<RequestPrint> = suspects.into_iter().map(|(_, print)| print).collect();
+        let mut prints: Vec<RequestFingerprint> =
+            suspects.into_iter().map(|(_, print)| print).collect();
         prints.sort_unstable();
         prints
     }
@@ -151,7 +152,7 @@
         self.records.is_empty()
     }
 
-    fn record_whole_run(&mut self, print: RequestPrint, at: TimePoint) -> bool {
+    fn record_whole_run(&mut self, print: RequestFingerprint, at: TimePoint) -> bool {
         let record = self.record(print);
         if record.whole_at.is_some_and(|whole| at <= whole) {
             return false;
@@ -162,7 +163,7 @@
         record.crashes.len() < before
     }
 
-    fn record(&mut self, print: RequestPrint) -> &mut PrintRecord {
+    fn record(&mut self, print: RequestFingerprint) -> &mut PrintRecord {
         if self.records.len() >= MAX_PRINTS && !self.records.contains_key(&print) {
             self.evict();
         }
--- a/crates/quarantine/src/evidence_log.rs
+++ b/crates/quarantine/src/evidence_log.rs
@@ -4,7 +4,7 @@
 
 use briartray_model::TimePoint;
 use briartray_model::message::{RunEnd, RunEvent};
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 
 use super::crash_book::EVIDENCE_LIFETIME;
 
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 struct LoggedRun {
     ended: TimePoint,
-    print: RequestPrint,
+    print: RequestFingerprint,
     end: RunEnd,
 }
 
@@ -32,7 +32,7 @@
 
 impl EvidenceLog {
     /// Records a run that ended at `now`.
-    pub fn note(&mut self, now: TimePoint, print: RequestPrint, end: RunEnd) {
+    pub fn note(&mut self, now: TimePoint, print: RequestFingerprint, end: RunEnd) {
         self.runs.retain(|run| now.since(run.ended) < EVIDENCE_LIFETIME);
         if self.runs.len() == MAX_EVENTS {
             self.runs.remove(0);
@@ -67,7 +67,7 @@
 
     /// Removes the runs of a request whose quarantine was lifted. A later leader would otherwise
     /// quarantine it again.
-    pub fn forget(&mut self, print: RequestPrint) {
+    pub fn forget(&mut self, print: RequestFingerprint) {
         self.runs.retain(|run| run.print != print);
     }
 }
--- a/crates/quarantine/src/print_guard.rs
+++ b/crates/quarantine/src/print_guard.rs
@@ -1,7 +1,7 @@
 //! The quarantine as known to an entry.
 
-use briartray_model::message::{PrintView, ViewVersion};
-use briartray_model::names::RequestPrint;
+use briartray_model::message::{FingerprintView, ViewVersion};
+use briartray_model::names::RequestFingerprint;
 
 /// Status of a request with regard to the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,13 +18,13 @@
 /// Most recent view of the quarantine at one entry.
 #[derive(Debug, Clone, Default)]
 pub struct PrintGuard {
-    view: PrintView,
+    view: FingerprintView,
 }
 
 impl PrintGuard {
     /// Replaces the view; returns the requests that are no longer in quarantine.
-    pub fn adopt(&mut self, view: PrintView) -> Vec<RequestPrint> {
-        let stays = |print: &&RequestPrint| view.quarantined.binary_search(print).is_err();
+    pub fn adopt(&mut self, view: FingerprintView) -> Vec<RequestFingerprint> {
+        let stays = |print: &&RequestFingerprint| view.quarantined.binary_search(print).is_err();
         let lifted = self.view.quarantined.iter().filter(stays).copied().collect();
         self.view = view;
         lifted
@@ -41,7 +41,7 @@
     }
 
     /// Status of the request with this print.
-    pub fn standing(&self, print: RequestPrint) -> PrintStanding {
+    pub fn standing(&self, print: RequestFingerprint) -> PrintStanding {
         if self.view.quarantined.binary_search(&print).is_ok() {
             PrintStanding::Quarantined
         } else if self.view.suspects.binary_search(&print).is_ok() {
--- a/crates/quarantine/src/print_key.rs
+++ b/crates/quarantine/src/print_key.rs
@@ -1,6 +1,6 @@
 //! Identification of a request by a keyed hash of its content.
 
-use briartray_model::names::RequestPrint;
+use briartray_model::names::RequestFingerprint;
 use sha2::{Digest, Sha256};
 
 /// Number of digest bytes that are used for a print.
@@ -37,7 +37,7 @@
     }
 
     /// Computes the print of a request.
-    pub fn print(&self, parts: &PrintParts<'_>) -> RequestPrint {
+    pub fn print(&self, parts: &PrintParts<'_>) -> RequestFingerprint {
         let mut hasher = self.keyed_hasher.clone();
         update_with_length(&mut hasher, parts.host.as_bytes());
         update_with_length(&mut hasher, parts.path.as_bytes());
@@ -47,7 +47,7 @@
         let digest = hasher.finalize();
         let mut bytes = [0; PRINT_BYTES];
         bytes.copy_from_slice(&digest[..PRINT_BYTES]);
-        RequestPrint(u128::from_be_bytes(bytes))
+        RequestFingerprint(u128::from_be_bytes(bytes))
     }
 }
 
--- a/crates/quarantine/src/quarantine_list.rs
+++ b/crates/quarantine/src/quarantine_list.rs
@@ -1,6 +1,6 @@
 //! Replicated list of the requests in quarantine.
 
-use briartray_model::names::{IncarnationId, RequestPrint, TeamName};
+use briartray_model::names::{IncarnationId, RequestFingerprint, TeamName};
 use briartray_model::plain_value;
 
 /// Maximum number of requests in quarantine; a new one replaces the oldest.
@@ -10,7 +10,7 @@
     /// A request in quarantine, with the evidence.
     pub struct QuarantineRecord {
         /// Print of the request.
-        pub print: RequestPrint,
+        pub print: RequestFingerprint,
         /// Rule that applied to the request.
         pub rule: String,
         /// Team of the caller, if known.
@@ -57,13 +57,13 @@
     }
 
     /// Whether `print` is in quarantine.
-    pub fn holds(&self, print: RequestPrint) -> bool {
+    pub fn holds(&self, print: RequestFingerprint) -> bool {
         self.records.iter().any(|record| record.print == print)
     }
 
     /// The prints in ascending order.
-    pub fn prints(&self) -> Vec<RequestPrint> {
-        let mut prints: Vec<RequestPrint> =
+    pub fn prints(&self) -> Vec<RequestFingerprint> {
+        let mut prints: Vec<RequestFingerprint> =
             self.records.iter().map(|record| record.print).collect();
         prints.sort_unstable();
         prints
@@ -81,7 +81,7 @@
     }
 
     /// Removes a request.
-    pub fn lift(&mut self, print: RequestPrint) {
+    pub fn lift(&mut self, print: RequestFingerprint) {
         self.records.retain(|record| record.print != print);
     }
 }
--- a/crates/quarantine/src/quarantine_tracker.rs
+++ b/crates/quarantine/src/quarantine_tracker.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use briartray_model::message::{PrintView, RunEvent, ViewVersion};
-use briartray_model::names::{RequestPrint, TermNumber};
+use briartray_model::message::{FingerprintView, RunEvent, ViewVersion};
+use briartray_model::names::{RequestFingerprint, TermNumber};
 use briartray_model::{SortedTable, TimePoint};
 
 use super::{CrashBook, QuarantineList, QuarantineRecord};
@@ -16,18 +16,18 @@
 #[derive(Debug, Clone)]
 pub struct QuarantineTracker {
     crashes: CrashBook,
-    view: PrintView,
+    view: FingerprintView,
     /// Whether the view may be outdated.
     view_stale: bool,
     /// When this leader first saw each request in quarantine.
-    since: SortedTable<RequestPrint, TimePoint>,
+    since: SortedTable<RequestFingerprint, TimePoint>,
 }
 
 impl Default for QuarantineTracker {
     fn default() -> Self {
         Self {
             crashes: CrashBook::default(),
-            view: PrintView::default(),
+            view: FingerprintView::default(),
             view_stale: true,
             since: SortedTable::new(),
         }
@@ -48,24 +48,24 @@
     }
 
     /// Records that the command for `print` was lost, so that it is repeated.
-    pub fn lost(&mut self, print: RequestPrint) {
+    pub fn lost(&mut self, print: RequestFingerprint) {
         self.crashes.lost(print);
     }
 
     /// Records that `print` was put into quarantine.
-    pub fn added(&mut self, print: RequestPrint) {
+    pub fn added(&mut self, print: RequestFingerprint) {
         self.crashes.forget(print);
         self.view_stale = true;
     }
 
     /// Records that the quarantine of `print` was lifted.
-    pub fn lifted(&mut self, now: TimePoint, print: RequestPrint) {
+    pub fn lifted(&mut self, now: TimePoint, print: RequestFingerprint) {
         self.crashes.clear(now, print);
         self.view_stale = true;
     }
 
     /// Removes expired crashes; returns the requests whose quarantine has expired.
-    pub fn keep(&mut self, now: TimePoint, list: &QuarantineList) -> Vec<RequestPrint> {
+    pub fn keep(&mut self, now: TimePoint, list: &QuarantineList) -> Vec<RequestFingerprint> {
         self.view_stale |= self.crashes.prune(now);
         self.since.retain(|print, _| list.holds(*print));
         let mut expired = Vec::new();
@@ -86,21 +86,21 @@
     }
 
     /// Updates the view if needed, for the leader's `term`, and returns it.
-    pub fn refresh(&mut self, term: TermNumber, list: &QuarantineList) -> &PrintView {
+    pub fn refresh(&mut self, term: TermNumber, list: &QuarantineList) -> &FingerprintView {
         if std::mem::take(&mut self.view_stale) {
             let (quarantined, suspects) = (list.prints(), self.crashes.suspects());
             let known = &self.view;
             let same = known.quarantined == quarantined && known.suspects == suspects;
             if !same || known.version.term != term {
                 let version = ViewVersion { term, number: known.version.number + 1 };
-                self.view = PrintView { version, quarantined, suspects };
+                self.view = FingerprintView { version, quarantined, suspects };
             }
         }
         &self.view
     }
 
     /// The current view.
-    pub fn view(&self) -> &PrintView {
+    pub fn view(&self) -> &FingerprintView {
         &self.view
     }
 }
--- a/crates/quarantine/tests/decisions.rs
+++ b/crates/quarantine/tests/decisions.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use briartray_model::message::{PrintView, RunEnd, RunEvent, ViewVersion};
-use briartray_model::names::{IncarnationId, RequestPrint, TeamName, TermNumber};
+use briartray_model::message::{FingerprintView, RunEnd, RunEvent, ViewVersion};
+use briartray_model::names::{IncarnationId, RequestFingerprint, TeamName, TermNumber};
 use briartray_model::{TimePoint, codec};
 use briartray_quarantine::{
     CrashBook, EvidenceLog, FATAL_CRASHES, PrintGuard, PrintKey, PrintParts, PrintStanding,
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const START: TimePoint = TimePoint(5_000_000);
-const FATAL: RequestPrint = RequestPrint(7);
+const FATAL: RequestFingerprint = RequestFingerprint(7);
 
 fn at(millis: u64) -> TimePoint {
     START.after(Duration::from_millis(millis))
@@ -25,12 +25,12 @@
     RunEnd::Crashed { endpoint, ran_ms: 1_000, rule, team }
 }
 
-fn event(print: RequestPrint, end: RunEnd) -> RunEvent {
+fn event(print: RequestFingerprint, end: RunEnd) -> RunEvent {
     RunEvent { print, age_ms: 0, end }
 }
 
 /// Returns a book with one crash less for `print` than is fatal, each half a second apart.
-fn nearly_fatal(print: RequestPrint) -> CrashBook {
+fn nearly_fatal(print: RequestFingerprint) -> CrashBook {
     let mut book = CrashBook::default();
     for number in 1..FATAL_CRASHES {
         let millis = 500 * u64::try_from(number).expect("the number of crashes fits into u64");
@@ -39,13 +39,18 @@
     book
 }
 
-fn fatal_prints(book: &mut CrashBook) -> Vec<RequestPrint> {
+fn fatal_prints(book: &mut CrashBook) -> Vec<RequestFingerprint> {
     book.take_fatal().into_iter().map(|record| record.print).collect()
 }
 
 fn record(print: u128) -> QuarantineRecord {
     let endpoints = vec![IncarnationId::new("i-1")];
-    QuarantineRecord { print: RequestPrint(print), rule: "draft".to_owned(), team: None, endpoints }
+    QuarantineRecord {
+        print: RequestFingerprint(print),
+        rule: "draft".to_owned(),
+        team: None,
+        endpoints,
+    }
 }
 
 /// Guards against a request that crashes one endpoint after another.
@@ -160,14 +165,14 @@
 fn runs_of_a_request_are_removed_when_its_quarantine_is_lifted() {
     let mut log = EvidenceLog::default();
     log.note(at(0), FATAL, crashed("i-0"));
-    log.note(at(0), RequestPrint(8), crashed("i-0"));
+    log.note(at(0), RequestFingerprint(8), crashed("i-0"));
     let mut guard = PrintGuard::default();
     let version = ViewVersion { term: TermNumber(1), number: 1 };
-    let held = PrintView { version, quarantined: vec![FATAL], suspects: Vec::new() };
+    let held = FingerprintView { version, quarantined: vec![FATAL], suspects: Vec::new() };
     guard.adopt(held.clone());
     assert_eq!(guard.standing(FATAL), PrintStanding::Quarantined);
 
-    for print in guard.adopt(PrintView { quarantined: Vec::new(), ..held }) {
+    for print in guard.adopt(FingerprintView { quarantined: Vec::new(), ..held }) {
         log.forget(print);
     }
 
@@ -183,7 +188,7 @@
     let mut log = EvidenceLog::default();
 
     for number in 0..20_000_u128 {
-        let print = RequestPrint(100 + number);
+        let print = RequestFingerprint(100 + number);
         let now = at(2_000 + u64::try_from(number).expect("the number of requests fits into u64"));
         book.record_run(now, &event(print, crashed("i-x")));
         log.note(now, print, crashed("i-x"));
@@ -220,10 +225,10 @@
     }
 
     assert_eq!(list.records().len(), 256);
-    assert!(!list.holds(RequestPrint(0)));
-    assert!(list.holds(RequestPrint(299)));
-    list.lift(RequestPrint(299));
-    assert!(!list.holds(RequestPrint(299)));
+    assert!(!list.holds(RequestFingerprint(0)));
+    assert!(list.holds(RequestFingerprint(299)));
+    list.lift(RequestFingerprint(299));
+    assert!(!list.holds(RequestFingerprint(299)));
 }
 
 /// Guards against a permanent quarantine although the affected endpoints have been replaced.
@@ -307,7 +312,7 @@
 
 /// A running request.
 struct SimulatedRequest {
-    print: RequestPrint,
+    print: RequestFingerprint,
     group: usize,
     /// Number of endpoints that have run this copy.
     runs: u32,
@@ -348,7 +353,8 @@
     fn begin(&mut self) {
         let popular = self.random.random_bool(0.2);
         self.next_print += 1;
-        let print = if popular { RequestPrint(1) } else { RequestPrint(self.next_print) };
+        let print =
+            if popular { RequestFingerprint(1) } else { RequestFingerprint(self.next_print) };
         let retries_left = if self.random.random_bool(0.1) { 4 } else { 1 };
         let group = self.random_group();
         self.running.push(SimulatedRequest { print, group, runs: 1, retries_left });
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -6,7 +6,7 @@
 use assert_matches::assert_matches;
 use briartray_model::TimePoint;
 use briartray_model::message::{
-    GroupRecord, LeavingMark, LoadReport, RefusalReason, RoutingSnapshot,
+    GroupRecord, LeavingGroup, LoadReport, RefusalReason, RoutingSnapshot,
 };
 use briartray_model::names::{
     DomainName, FencingNumber, GroupId, HostName, ProviderName, ServiceName, ZoneName,
@@ -296,7 +296,7 @@
 fn broken_and_leaving_groups_are_never_chosen() {
     let mut fleet = alike(4);
     fleet.groups[1].whole = false;
-    fleet.leaving.push(LeavingMark { group: GroupId(2) });
+    fleet.leaving.push(LeavingGroup { group: GroupId(2) });
     let route = RouteAction::default();
     let mut table = table(&fleet);
 
--- a/crates/standin/src/group_host/server.rs
+++ b/crates/standin/src/group_host/server.rs
@@ -13,11 +13,12 @@
 
 use briartray_fleet::deployment::EngineModel;
 use briartray_fleet::director::{EndpointHeartbeat, MemberState};
-use briartray_http::{AnswerBody, EndpointConnection, HttpServer, ServerLimits};
+use briartray_http::{EndpointConnection, HttpServer, ResponseBody, ServerLimits};
 use briartray_model::TimePoint;
 use briartray_model::names::{DomainName, IncarnationId, ServiceName, ZoneName};
 use briartray_platform::stand_in::{
-    ServedHead, beat_request, outcome_status, read_order, report_body, served_head, with_limit,
+    ReceivedHead, heartbeat_request, outcome_status, read_order, report_body, start_response,
+    with_advertised_limit,
 };
 use briartray_platform::{ORDER_PATH, REPORT_PATH};
 use bytes::Bytes;
@@ -276,7 +277,7 @@
 async fn send_heartbeat(control: SocketAddr, heartbeat: &EndpointHeartbeat) -> bool {
     let mut address = control;
     for _ in 0..3 {
-        let request = beat_request(&address.to_string(), heartbeat);
+        let request = heartbeat_request(&address.to_string(), heartbeat);
         let sent = async {
             let exchange = EndpointConnection::open(address).await?.send(request).await?;
             exchange.whole().await
@@ -295,9 +296,9 @@
     false
 }
 
-async fn handle(state: Rc<HostState>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle(state: Rc<HostState>, request: Request<Incoming>) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
-    let head = ServedHead::read(&parts.headers);
+    let head = ReceivedHead::read(&parts.headers);
     let Ok(body) = body.collect().await else { return status(StatusCode::BAD_REQUEST) };
     let body = body.to_bytes();
     if head.expected.as_deref().is_some_and(|expected| expected != state.settings.id) {
@@ -306,14 +307,14 @@
     match parts.uri.path() {
         REPORT_PATH => {
             let report = report_body(&state.model.borrow().report());
-            Response::new(AnswerBody::whole(report.to_string()))
+            Response::new(ResponseBody::whole(report.to_string()))
         }
         ORDER_PATH => apply_order(&state, &body),
         _ => run(&state, &head, &body),
     }
 }
 
-fn apply_order(state: &HostState, body: &[u8]) -> Response<AnswerBody> {
+fn apply_order(state: &HostState, body: &[u8]) -> Response<ResponseBody> {
     let (Some((order, term)), Some(engine)) = (read_order(body), &state.settings.engine) else {
         return status(StatusCode::BAD_REQUEST);
     };
@@ -321,7 +322,7 @@
     status(outcome_status(outcome))
 }
 
-fn run(state: &Rc<HostState>, head: &ServedHead, body: &[u8]) -> Response<AnswerBody> {
+fn run(state: &Rc<HostState>, head: &ReceivedHead, body: &[u8]) -> Response<ResponseBody> {
     let fatal = state.settings.fatal_body.as_ref().is_some_and(|fatal| fatal.as_bytes() == body);
     match state.settings.engine {
         Some(_) => run_engine(state, head, fatal),
@@ -338,28 +339,28 @@
     });
 }
 
-fn run_service(state: &HostState, head: &ServedHead, fatal: bool) -> Response<AnswerBody> {
+fn run_service(state: &HostState, head: &ReceivedHead, fatal: bool) -> Response<ResponseBody> {
     state.shared.record_run(&head.request_id);
     if state.shared.fails() {
         let code = StatusCode::INTERNAL_SERVER_ERROR;
-        let answer = served_head(code, &head.request_id, true, (1, 0, 6));
-        let body = AnswerBody::whole(Vec::new());
+        let answer = start_response(code, &head.request_id, true, (1, 0, 6));
+        let body = ResponseBody::whole(Vec::new());
         return answer.body(body).unwrap_or_else(|_| status(code));
     }
     let body = if fatal {
         crash_soon(state);
-        let (sender, body) = AnswerBody::parts();
+        let (sender, body) = ResponseBody::parts();
         // Keeps the answer open until the crash.
         tokio::task::spawn_local(async move { sender.closed().await });
         body
     } else {
         let team = head.team.as_deref().unwrap_or("nobody");
-        AnswerBody::whole(format!("{} {} {team}", state.settings.id, head.request_id))
+        ResponseBody::whole(format!("{} {} {team}", state.settings.id, head.request_id))
     };
     served(state, head).body(body).unwrap_or_else(|_| status(StatusCode::BAD_GATEWAY))
 }
 
-fn run_engine(state: &HostState, head: &ServedHead, fatal: bool) -> Response<AnswerBody> {
+fn run_engine(state: &HostState, head: &ReceivedHead, fatal: bool) -> Response<ResponseBody> {
     let member = state.model.borrow().member.clone();
     let is_head = member.as_ref().is_some_and(|member| {
         member.state == MemberState::Open
@@ -372,7 +373,7 @@
     if fatal {
         crash_soon(state);
     }
-    let (sender, body) = AnswerBody::parts();
+    let (sender, body) = ResponseBody::parts();
     let first = head.last_event.map_or(1, |last| last + 1);
     let last = state.settings.events;
     let pause = if fatal { CRASH_DELAY * 2 } else { EVENT_INTERVAL };
@@ -389,22 +390,22 @@
     answer.unwrap_or_else(|_| status(StatusCode::BAD_GATEWAY))
 }
 
-fn served(state: &HostState, head: &ServedHead) -> http::response::Builder {
-    let answer = served_head(StatusCode::OK, &head.request_id, true, (1, 0, 6));
+fn served(state: &HostState, head: &ReceivedHead) -> http::response::Builder {
+    let answer = start_response(StatusCode::OK, &head.request_id, true, (1, 0, 6));
     match state.shared.limit() {
-        Some(limit) => with_limit(answer, &limit),
+        Some(limit) => with_advertised_limit(answer, &limit),
         None => answer,
     }
 }
 
-fn not_run(head: &ServedHead, code: StatusCode) -> Response<AnswerBody> {
-    served_head(code, &head.request_id, false, (0, 0, 6))
-        .body(AnswerBody::whole(Vec::new()))
+fn not_run(head: &ReceivedHead, code: StatusCode) -> Response<ResponseBody> {
+    start_response(code, &head.request_id, false, (0, 0, 6))
+        .body(ResponseBody::whole(Vec::new()))
         .unwrap_or_else(|_| status(code))
 }
 
-fn status(code: StatusCode) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(Vec::new()));
+fn status(code: StatusCode) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(Vec::new()));
     *answer.status_mut() = code;
     answer
 }
