--- a/crates/fleet/tests/director/fleet.rs
+++ b/crates/fleet/tests/director/fleet.rs
@@ -14,7 +14,7 @@
 use briartray_model::names::{
     DomainName, GroupId, IncarnationId, NodeName, ServiceName, TermNumber, ZoneName,
 };
-use briartray_standin::group_host::{HostModel, HostPlace};
+use briartray_standin::group_host::{HostModel, IncarnationPlace};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -148,7 +148,7 @@
     /// Adds an empty host.
     pub fn add_host(&mut self, domain: usize) -> usize {
         self.next_id += 1;
-        let place = HostPlace {
+        let place = IncarnationPlace {
             id: IncarnationId::new(&format!("i-{:04}", self.next_id)),
             service: ServiceName::new("desk"),
             address: format!("10.{domain}.0.{}:80", self.next_id),
@@ -187,7 +187,8 @@
         let next = self.add_host(domain.expect("the fixture named the domain"));
         let place = self.hosts[next].model.place.clone();
         let address = self.hosts[host].model.place.address.clone();
-        self.hosts[next].model = self.hosts[host].model.restarted(HostPlace { address, ..place });
+        self.hosts[next].model =
+            self.hosts[host].model.restarted(IncarnationPlace { address, ..place });
         next
     }
 
--- a/crates/standin/src/group_host/mod.rs
+++ b/crates/standin/src/group_host/mod.rs
@@ -7,5 +7,5 @@
 mod model;
 mod server;
 
-pub use model::{HostModel, HostPlace, Membership};
+pub use model::{HostModel, IncarnationPlace, Membership};
 pub use server::{HostServer, HostSettings};
--- a/crates/standin/src/group_host/model.rs
+++ b/crates/standin/src/group_host/model.rs
@@ -15,7 +15,7 @@
 
 /// Identity and location of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HostPlace {
+pub struct IncarnationPlace {
     /// Id of its current incarnation.
     pub id: IncarnationId,
     /// Service that it belongs to.
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone)]
 pub struct HostModel {
     /// Its identity and location.
-    pub place: HostPlace,
+    pub place: IncarnationPlace,
     /// Its group membership, if any.
     pub member: Option<Membership>,
     /// Whether it is leaving and takes no new work.
@@ -69,7 +69,7 @@
 
 impl HostModel {
     /// Creates a newly started endpoint without staged weights.
-    pub fn new(place: HostPlace) -> Self {
+    pub fn new(place: IncarnationPlace) -> Self {
         Self {
             place,
             member: None,
@@ -87,7 +87,7 @@
 
     /// Returns the endpoint restarted as `place` on the same host: staged weights are kept, all
     /// other state is reset.
-    pub fn restarted(&self, place: HostPlace) -> Self {
+    pub fn restarted(&self, place: IncarnationPlace) -> Self {
         Self { staged: self.staged.clone(), ..Self::new(place) }
     }
 
--- a/crates/standin/src/group_host/server.rs
+++ b/crates/standin/src/group_host/server.rs
@@ -28,7 +28,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use super::{HostModel, HostPlace};
+use super::{HostModel, IncarnationPlace};
 
 /// Time between two ticks of the state machine.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
@@ -135,7 +135,7 @@
     }
 
     /// Sets the limit that later answers advertise; `None` advertises none.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn advertise_limit(&self, limit: Option<&str>) {
         let mut advertised = self.shared.limit.lock().unwrap_or_else(PoisonError::into_inner);
         *advertised = limit.map(str::to_owned);
     }
@@ -226,7 +226,7 @@
     crash: Rc<Notify>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    let place = HostPlace {
+    let place = IncarnationPlace {
         id: IncarnationId::new(&settings.id),
         service: ServiceName::new(&settings.service),
         address: address.to_string(),
