--- a/crates/cli/tests/crashing_requests.rs
+++ b/crates/cli/tests/crashing_requests.rs
@@ -98,10 +98,10 @@
     };
 
     let (_, listed) = briartray(&["list"]);
-    let print = listed[0]["print"].as_str().expect("a fingerprint").to_owned();
+    let fingerprint = listed[0]["print"].as_str().expect("a fingerprint").to_owned();
     let crashed = listed[0]["crashed"].as_array().map_or(0, Vec::len);
     let wrong = briartray(&["lift", "no-print"]);
-    let lifted = briartray(&["lift", &print]);
+    let lifted = briartray(&["lift", &fingerprint]);
 
     assert_eq!((&listed[0]["rule"], &listed[0]["team"]), (&json!("everyone"), &json!("default")));
     assert!(crashed >= 4, "{listed}");
--- a/crates/control/src/state/command.rs
+++ b/crates/control/src/state/command.rs
@@ -78,7 +78,7 @@
         Quarantine(QuarantineRecord),
         /// Serve a quarantined request again.
         LiftQuarantine {
-            /// Print of the request.
+            /// Fingerprint of the request.
             print: RequestFingerprint,
         },
     }
@@ -204,12 +204,12 @@
         },
         /// The request is quarantined.
         Quarantined {
-            /// Print of the request.
+            /// Fingerprint of the request.
             print: RequestFingerprint,
         },
         /// The quarantine of the request is lifted.
         QuarantineLifted {
-            /// Print of the request.
+            /// Fingerprint of the request.
             print: RequestFingerprint,
         },
     }
--- a/crates/fleet/src/state/mod.rs
+++ b/crates/fleet/src/state/mod.rs
@@ -146,8 +146,8 @@
                 self.quarantine.add(record);
                 FleetOutcome::Applied
             }
-            FleetCommand::LiftQuarantine(print) => {
-                self.quarantine.lift(*print);
+            FleetCommand::LiftQuarantine(fingerprint) => {
+                self.quarantine.lift(*fingerprint);
                 FleetOutcome::Applied
             }
             FleetCommand::EvacuateZone(zone) => {
--- a/crates/gateway/src/control/entry_session.rs
+++ b/crates/gateway/src/control/entry_session.rs
@@ -47,8 +47,10 @@
     /// Records what was sent on the stream.
     pub(super) fn record_sent(&mut self, now: TimePoint, plan: Option<u64>, notice: &EntryNotice) {
         self.plan = self.plan.max(plan);
-        self.quarantine_version =
-            notice.prints.as_ref().map_or(self.quarantine_version, |prints| prints.version);
+        self.quarantine_version = notice
+            .prints
+            .as_ref()
+            .map_or(self.quarantine_version, |fingerprints| fingerprints.version);
         let Some(view) = &notice.view else { return };
         self.view = Some(view.version);
         if view.base.is_none() {
--- a/crates/gateway/src/control/replication.rs
+++ b/crates/gateway/src/control/replication.rs
@@ -102,7 +102,9 @@
             leadership.step_due = true;
             match &command {
                 FleetCommand::Quarantine(record) => leadership.quarantine.added(record.print),
-                FleetCommand::LiftQuarantine(print) => leadership.quarantine.lifted(now, *print),
+                FleetCommand::LiftQuarantine(fingerprint) => {
+                    leadership.quarantine.lifted(now, *fingerprint)
+                }
                 FleetCommand::ReadmitZone(zone) => leadership.director.readmit(now, zone),
                 _ => {}
             }
@@ -214,7 +216,7 @@
                 record.print, record.rule
             )
         }
-        FleetCommand::LiftQuarantine(print) => format!("lift quarantine of {print}"),
+        FleetCommand::LiftQuarantine(fingerprint) => format!("lift quarantine of {fingerprint}"),
         FleetCommand::EvacuateZone(zone) => format!("evacuate {zone}"),
         FleetCommand::ReadmitZone(zone) => format!("readmit {zone}"),
     }
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -13,7 +13,7 @@
 use briartray_model::message::RunEnd;
 use briartray_model::names::{IncarnationId, RequestFingerprint, ServiceName, TeamName};
 use briartray_platform::{CallerHead, DispatchHeaders, ResponseHead, dispatch_request};
-use briartray_quarantine::{PrintParts, PrintStanding};
+use briartray_quarantine::{FingerprintParts, QuarantineStatus};
 use bytes::Bytes;
 use http::request::Parts;
 
@@ -134,7 +134,7 @@
 ) -> RequestFingerprint {
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let team = team.map(TeamName::as_str);
-    state.fingerprint(&PrintParts { host: &head.host, path, team, body })
+    state.fingerprint(&FingerprintParts { host: &head.host, path, team, body })
 }
 
 impl ServedRequest {
@@ -157,13 +157,13 @@
     }
 
     /// Whether the request is clear, suspected or quarantined.
-    fn standing(&self) -> PrintStanding {
-        self.state.standing(|| self.fingerprint())
+    fn status(&self) -> QuarantineStatus {
+        self.state.status(|| self.fingerprint())
     }
 
     /// Records that the request ran to completion, which clears it if it was suspected of crashes.
     pub(super) fn record_complete_run(&self) {
-        if self.standing() != PrintStanding::Clear {
+        if self.status() != QuarantineStatus::Clear {
             let now = self.state.now();
             self.state.evidence_log.borrow_mut().note(now, self.fingerprint(), RunEnd::Whole);
             self.state.send_report();
@@ -193,7 +193,7 @@
         };
         match plan.next(end) {
             // A suspected request could crash a second endpoint.
-            NextStep::RetryElsewhere if self.standing() != PrintStanding::Clear => {
+            NextStep::RetryElsewhere if self.status() != QuarantineStatus::Clear => {
                 RetryState { may_try: false, ..plan }.next(end)
             }
             // The retry budget is charged only if all other conditions allow another attempt.
--- a/crates/gateway/src/entry/serve.rs
+++ b/crates/gateway/src/entry/serve.rs
@@ -8,7 +8,7 @@
 use briartray_model::TimePoint;
 use briartray_model::names::{ServiceName, TeamName};
 use briartray_platform::CallerHead;
-use briartray_quarantine::PrintStanding;
+use briartray_quarantine::QuarantineStatus;
 use bytes::Bytes;
 use http::request::Parts;
 use http::{HeaderName, HeaderValue, Request, Response, header};
@@ -97,10 +97,10 @@
     let priority = team.as_ref().and_then(|(_, priority)| *priority).or(Some(rule.priority));
     let team = team.map(|(team, _)| team);
     let fingerprint = OnceCell::new();
-    let standing = state.standing(|| {
+    let status = state.status(|| {
         *fingerprint.get_or_init(|| request_fingerprint(state, &parts, &head, team.as_ref(), &body))
     });
-    if standing == PrintStanding::Quarantined {
+    if status == QuarantineStatus::Quarantined {
         return Err(RefusalKind::Quarantined);
     }
     let service = state.table.borrow_mut().pick_service(&rule).ok_or(RefusalKind::NoReplica)?;
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -17,7 +17,9 @@
 use briartray_model::{SortedTable, TimePoint};
 use briartray_node::ClockReader;
 use briartray_platform::CallerHead;
-use briartray_quarantine::{EvidenceLog, PrintGuard, PrintKey, PrintParts, PrintStanding};
+use briartray_quarantine::{
+    EvidenceLog, FingerprintKey, FingerprintParts, QuarantineGuard, QuarantineStatus,
+};
 use crossbeam::channel::Sender;
 use tokio::sync::Notify;
 
@@ -36,8 +38,8 @@
     lease: RefCell<EntryLease>,
     budget: RefCell<RetryBudget>,
     pub(super) pool: RefCell<ConnectionPool>,
-    fingerprint_key: PrintKey,
-    quarantine_guard: RefCell<PrintGuard>,
+    fingerprint_key: FingerprintKey,
+    quarantine_guard: RefCell<QuarantineGuard>,
     /// Runs that ended in a crash, and completed runs of suspected requests, which are reported to
     /// the leader.
     pub(super) evidence_log: RefCell<EvidenceLog>,
@@ -83,7 +85,7 @@
             lease: RefCell::new(EntryLease::new(limits.lease_bound())),
             budget: RefCell::new(budget),
             pool: RefCell::new(ConnectionPool::default()),
-            fingerprint_key: PrintKey::new(&settings.link_token),
+            fingerprint_key: FingerprintKey::new(&settings.link_token),
             quarantine_guard: RefCell::default(),
             evidence_log: RefCell::default(),
             broken_runs: RefCell::default(),
@@ -314,8 +316,8 @@
             table.update(self.now(), update);
         }
         table.record_other_loads(self.now(), &notice.loads);
-        if let Some(prints) = notice.prints {
-            self.adopt_quarantine(prints);
+        if let Some(fingerprints) = notice.prints {
+            self.adopt_quarantine(fingerprints);
         }
         // The lease is renewed last: it confirms the state sent with it.
         if let Some(nonce) = notice.nonce {
@@ -360,15 +362,15 @@
     }
 
     /// Computes the fingerprint of a request from `parts`.
-    pub(super) fn fingerprint(&self, parts: &PrintParts<'_>) -> RequestFingerprint {
-        self.fingerprint_key.print(parts)
+    pub(super) fn fingerprint(&self, parts: &FingerprintParts<'_>) -> RequestFingerprint {
+        self.fingerprint_key.fingerprint(parts)
     }
 
     /// Quarantine status of a request; `compute` returns its fingerprint.
-    pub(super) fn standing(&self, compute: impl FnOnce() -> RequestFingerprint) -> PrintStanding {
+    pub(super) fn status(&self, compute: impl FnOnce() -> RequestFingerprint) -> QuarantineStatus {
         let guard = self.quarantine_guard.borrow();
         // A fingerprint needs a pass over the body, so it is computed only after crashes.
-        if guard.is_watching() { guard.standing(compute()) } else { PrintStanding::Clear }
+        if guard.is_watching() { guard.status(compute()) } else { QuarantineStatus::Clear }
     }
 
     fn adopt_plan(&self, stored_plan: &StoredPlan) {
--- a/crates/node/src/control/core.rs
+++ b/crates/node/src/control/core.rs
@@ -181,7 +181,7 @@
     /// Reports to `origin` that its command may or may not be applied later.
     pub(super) fn report_unknown(&mut self, origin: ProposalOrigin) {
         match origin {
-            ProposalOrigin::Quarantine(print) => self.quarantine.lost(print),
+            ProposalOrigin::Quarantine(fingerprint) => self.quarantine.lost(fingerprint),
             other => other.report_unknown(),
         }
     }
--- a/crates/node/src/control/operator.rs
+++ b/crates/node/src/control/operator.rs
@@ -87,9 +87,9 @@
 
 impl LiftQuarantineBody {
     fn into_command(self) -> Result<ControlCommand, String> {
-        let print = RequestFingerprint::parse(&self.print);
+        let fingerprint = RequestFingerprint::parse(&self.print);
         let remedy = "send a fingerprint as shown in the list of the quarantine";
-        Ok(ControlCommand::LiftQuarantine { print: print.ok_or(remedy)? })
+        Ok(ControlCommand::LiftQuarantine { print: fingerprint.ok_or(remedy)? })
     }
 }
 
--- a/crates/node/src/entry/api.rs
+++ b/crates/node/src/entry/api.rs
@@ -5,7 +5,7 @@
 use briartray_model::message::{CallTarget, HeaderField, TraceContext};
 use briartray_model::names::{RequestId, RuleName, TeamName};
 use briartray_model::rules::ServiceKind;
-use briartray_quarantine::PrintStanding;
+use briartray_quarantine::QuarantineStatus;
 use briartray_routing::choice::PrefixDigest;
 use briartray_web::{BodyError, JsonReply, header_value, read_body, reply_json, reply_text};
 use serde::Deserialize;
@@ -171,7 +171,7 @@
             (declared.name.clone(), Some(fields.model), fields.stream, prefix, path.to_owned())
         }
     };
-    if shared.quarantine.standing(&target_path, &team, &body) == PrintStanding::Quarantined {
+    if shared.quarantine.status(&target_path, &team, &body) == QuarantineStatus::Quarantined {
         return Err(CallRefusal::quarantined());
     }
     let facts = CallFacts {
--- a/crates/node/src/entry/call.rs
+++ b/crates/node/src/entry/call.rs
@@ -10,7 +10,7 @@
 };
 use briartray_model::names::{GroupId, RequestId, RevisionNumber, RuleName, ServiceName, TeamName};
 use briartray_model::rules::{AdmitAction, RetryAction, RouteAction};
-use briartray_quarantine::{PrintStanding, SUSPECT_CRASHES};
+use briartray_quarantine::{QuarantineStatus, SUSPECT_CRASHES};
 use briartray_routing::admission::{AdmissionRefusal, AdmissionRequest, LimitKey, RefusalCause};
 use briartray_routing::choice::{AttemptResult, ChoiceOutcome, ChoiceRequest, PrefixDigest};
 use briartray_routing::retry::{
@@ -284,7 +284,7 @@
     fn decide(&self, effect: AttemptEffect, history: &AttemptHistory) -> RetryDecision {
         let suspect = effect == AttemptEffect::Unknown
             && (self.crash_count >= SUSPECT_CRASHES
-                || self.shared.quarantine.standing_of(self.plan) != PrintStanding::Clear);
+                || self.shared.quarantine.status_of(self.plan) != QuarantineStatus::Clear);
         let decision = match suspect {
             true => RetryDecision::Stop(StopReason::Suspect),
             false => self.decide_within_budget(effect, history),
--- a/crates/node/src/entry/quarantine.rs
+++ b/crates/node/src/entry/quarantine.rs
@@ -7,7 +7,9 @@
 use briartray_model::TimePoint;
 use briartray_model::message::{FingerprintView, RunEnd, RunEvent, ViewVersion};
 use briartray_model::names::{IncarnationId, RequestFingerprint, RuleName, TeamName};
-use briartray_quarantine::{EvidenceLog, PrintGuard, PrintKey, PrintParts, PrintStanding};
+use briartray_quarantine::{
+    EvidenceLog, FingerprintKey, FingerprintParts, QuarantineGuard, QuarantineStatus,
+};
 use crossbeam::channel::{Receiver, Sender, bounded};
 
 use super::call::CallPlan;
@@ -15,7 +17,7 @@
 /// The quarantined and suspected requests known to this entry, and the run events to report.
 #[derive(Debug)]
 pub(super) struct QuarantineClient {
-    key: PrintKey,
+    key: FingerprintKey,
     state: Mutex<QuarantineState>,
     /// Wakes the renewal when there is an event to report at once.
     wake_up: (Sender<()>, Receiver<()>),
@@ -23,14 +25,14 @@
 
 #[derive(Debug, Default)]
 struct QuarantineState {
-    guard: PrintGuard,
+    guard: QuarantineGuard,
     runs: EvidenceLog,
 }
 
 impl QuarantineClient {
     /// Creates a client that computes fingerprints with the key `secret`.
     pub(super) fn new(secret: &str) -> Self {
-        Self { key: PrintKey::new(secret), state: Mutex::default(), wake_up: bounded(1) }
+        Self { key: FingerprintKey::new(secret), state: Mutex::default(), wake_up: bounded(1) }
     }
 
     /// Blocks for `pause`, or until there is an event to report at once.
@@ -38,21 +40,21 @@
         let _ = self.wake_up.1.recv_timeout(pause);
     }
 
-    /// Standing of a request.
+    /// Status of a request.
     ///
     /// A fingerprint costs a pass over the body, so none is computed while no request is
     /// quarantined or suspected.
-    pub(super) fn standing(&self, path: &str, team: &TeamName, body: &[u8]) -> PrintStanding {
+    pub(super) fn status(&self, path: &str, team: &TeamName, body: &[u8]) -> QuarantineStatus {
         if !self.state().guard.is_watching() {
-            return PrintStanding::Clear;
+            return QuarantineStatus::Clear;
         }
-        let print = self.print(path, team, body);
-        self.state().guard.standing(print)
+        let fingerprint = self.fingerprint(path, team, body);
+        self.state().guard.status(fingerprint)
     }
 
-    /// Standing of the request of `plan`.
-    pub(super) fn standing_of(&self, plan: &CallPlan) -> PrintStanding {
-        self.standing(&plan.target.path, &plan.team, &plan.body)
+    /// Status of the request of `plan`.
+    pub(super) fn status_of(&self, plan: &CallPlan) -> QuarantineStatus {
+        self.status(&plan.target.path, &plan.team, &plan.body)
     }
 
     /// Records that the endpoint crashed while running the request of `plan`, in an attempt that
@@ -64,7 +66,7 @@
         plan: &CallPlan,
         endpoint: IncarnationId,
     ) {
-        let print = self.print_of(plan);
+        let print = self.fingerprint_of(plan);
         let rule = plan.rule.as_ref().map_or("", RuleName::as_str).to_owned();
         log::warn!(print:%, endpoint:% = endpoint, rule; "endpoint crashed during a request");
         let ran_ms = u64::try_from(now.since(started_at).as_millis()).unwrap_or(u64::MAX);
@@ -74,9 +76,9 @@
 
     /// Records that the request of `plan` ran to its end, which clears it if it was suspected.
     pub(super) fn record_completion(&self, now: TimePoint, plan: &CallPlan) {
-        if self.standing_of(plan) != PrintStanding::Clear {
-            let print = self.print_of(plan);
-            self.record_event(now, print, RunEnd::Whole);
+        if self.status_of(plan) != QuarantineStatus::Clear {
+            let fingerprint = self.fingerprint_of(plan);
+            self.record_event(now, fingerprint, RunEnd::Whole);
         }
     }
 
@@ -98,24 +100,24 @@
         let Some(view) = view else { return };
         let (quarantined, suspects) = (view.quarantined.len(), view.suspects.len());
         log::info!(quarantined, suspects; "adopted a new quarantine view");
-        for print in state.guard.adopt(view) {
-            state.runs.forget(print);
+        for fingerprint in state.guard.adopt(view) {
+            state.runs.forget(fingerprint);
         }
     }
 
-    fn record_event(&self, now: TimePoint, print: RequestFingerprint, end: RunEnd) {
-        self.state().runs.note(now, print, end);
+    fn record_event(&self, now: TimePoint, fingerprint: RequestFingerprint, end: RunEnd) {
+        self.state().runs.note(now, fingerprint, end);
         // One pending wake-up is enough, so a full channel is no error.
         let _ = self.wake_up.0.try_send(());
     }
 
-    fn print_of(&self, plan: &CallPlan) -> RequestFingerprint {
-        self.print(&plan.target.path, &plan.team, &plan.body)
+    fn fingerprint_of(&self, plan: &CallPlan) -> RequestFingerprint {
+        self.fingerprint(&plan.target.path, &plan.team, &plan.body)
     }
 
-    fn print(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestFingerprint {
+    fn fingerprint(&self, path: &str, team: &TeamName, body: &[u8]) -> RequestFingerprint {
         // Callers may use any host name for an entry, so only the team distinguishes them.
-        self.key.print(&PrintParts { host: "", path, team: Some(team.as_str()), body })
+        self.key.fingerprint(&FingerprintParts { host: "", path, team: Some(team.as_str()), body })
     }
 
     fn state(&self) -> MutexGuard<'_, QuarantineState> {
--- a/crates/quarantine/src/crash_book.rs
+++ b/crates/quarantine/src/crash_book.rs
@@ -21,7 +21,7 @@
 
 /// Maximum number of requests that are kept. One crash adds up to a whole batch of them, most of
 /// which never recur.
-const MAX_PRINTS: usize = 2_048;
+const MAX_FINGERPRINTS: usize = 2_048;
 
 /// Maximum number of crashes that are kept for each request.
 const MAX_CRASHES: usize = 8;
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct PrintRecord {
+struct FingerprintRecord {
     /// Crashes since the last complete run, oldest first; at most one for each endpoint.
     crashes: Vec<ReportedCrash>,
     whole_at: Option<TimePoint>,
@@ -51,7 +51,7 @@
 /// Crashes by request.
 #[derive(Debug, Clone, Default)]
 pub struct CrashBook {
-    records: SortedTable<RequestFingerprint, PrintRecord>,
+    records: SortedTable<RequestFingerprint, FingerprintRecord>,
 }
 
 impl CrashBook {
@@ -82,13 +82,13 @@
     /// [`Self::forget`] or [`Self::lost`].
     pub fn take_fatal(&mut self) -> Vec<QuarantineRecord> {
         let mut fatal = Vec::new();
-        for (print, record) in self.records.iter_mut() {
+        for (fingerprint, record) in self.records.iter_mut() {
             if record.proposed || record.distinct_crashes() < FATAL_CRASHES {
                 continue;
             }
             record.proposed = true;
             fatal.push(QuarantineRecord {
-                print: *print,
+                print: *fingerprint,
                 rule: record.rule.clone(),
                 team: record.team.clone(),
                 endpoints: record.crashes.iter().map(|crash| crash.endpoint.clone()).collect(),
@@ -97,24 +97,25 @@
         fatal
     }
 
-    /// Records that the proposal to quarantine `print` was lost, so that it is repeated.
-    pub fn lost(&mut self, print: RequestFingerprint) {
-        if let Some(record) = self.records.get_mut(&print) {
+    /// Records that the proposal to quarantine `fingerprint` was lost, so that it is repeated.
+    pub fn lost(&mut self, fingerprint: RequestFingerprint) {
+        if let Some(record) = self.records.get_mut(&fingerprint) {
             record.proposed = false;
         }
     }
 
-    /// Ignores all crashes of `print` before `now`, including those that entries still report.
-    pub fn clear(&mut self, now: TimePoint, print: RequestFingerprint) {
-        self.record_whole_run(print, time_before(now, Duration::ZERO));
-        if let Some(record) = self.records.get_mut(&print) {
+    /// Ignores all crashes of `fingerprint` before `now`, including those that entries still
+    /// report.
+    pub fn clear(&mut self, now: TimePoint, fingerprint: RequestFingerprint) {
+        self.record_whole_run(fingerprint, time_before(now, Duration::ZERO));
+        if let Some(record) = self.records.get_mut(&fingerprint) {
             record.proposed = false;
         }
     }
 
     /// Forgets a request because it is now in quarantine.
-    pub fn forget(&mut self, print: RequestFingerprint) {
-        self.records.remove(&print);
+    pub fn forget(&mut self, fingerprint: RequestFingerprint) {
+        self.records.remove(&fingerprint);
     }
 
     /// Requests that may have to be quarantined, in ascending order. If there are too many, those
@@ -124,14 +125,14 @@
             .records
             .iter()
             .filter(|(_, record)| record.distinct_crashes() >= SUSPECT_CRASHES)
-            .map(|(print, record)| (record.newest(), *print))
+            .map(|(fingerprint, record)| (record.newest(), *fingerprint))
             .collect();
         suspects.sort_unstable_by(|a, b| b.cmp(a));
         suspects.truncate(MAX_SUSPECTS);
-        let mut prints: Vec<RequestFingerprint> =
-            suspects.into_iter().map(|(_, print)| print).collect();
-        prints.sort_unstable();
-        prints
+        let mut fingerprints: Vec<RequestFingerprint> =
+            suspects.into_iter().map(|(_, fingerprint)| fingerprint).collect();
+        fingerprints.sort_unstable();
+        fingerprints
     }
 
     /// Removes expired crashes; returns whether there were any.
@@ -152,8 +153,8 @@
         self.records.is_empty()
     }
 
-    fn record_whole_run(&mut self, print: RequestFingerprint, at: TimePoint) -> bool {
-        let record = self.record(print);
+    fn record_whole_run(&mut self, fingerprint: RequestFingerprint, at: TimePoint) -> bool {
+        let record = self.record(fingerprint);
         if record.whole_at.is_some_and(|whole| at <= whole) {
             return false;
         }
@@ -163,20 +164,20 @@
         record.crashes.len() < before
     }
 
-    fn record(&mut self, print: RequestFingerprint) -> &mut PrintRecord {
-        if self.records.len() >= MAX_PRINTS && !self.records.contains_key(&print) {
+    fn record(&mut self, fingerprint: RequestFingerprint) -> &mut FingerprintRecord {
+        if self.records.len() >= MAX_FINGERPRINTS && !self.records.contains_key(&fingerprint) {
             self.evict();
         }
-        self.records.get_or_insert_with(print, PrintRecord::default)
+        self.records.get_or_insert_with(fingerprint, FingerprintRecord::default)
     }
 
     /// Removes the request with the fewest crashes; among several, the one whose last crash is
     /// oldest.
     fn evict(&mut self) {
-        let weight = |record: &PrintRecord| (record.distinct_crashes(), record.newest());
+        let weight = |record: &FingerprintRecord| (record.distinct_crashes(), record.newest());
         let least = self.records.iter().min_by_key(|(_, record)| weight(record));
-        if let Some(print) = least.map(|(print, _)| *print) {
-            self.records.remove(&print);
+        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            self.records.remove(&fingerprint);
         }
     }
 }
@@ -188,7 +189,7 @@
     now.after(ahead)
 }
 
-impl PrintRecord {
+impl FingerprintRecord {
     /// Adds a crash; returns `false` if it is already known or older than a complete run.
     fn add_crash(&mut self, reported: ReportedCrash) -> bool {
         let cleared = self.whole_at.is_some_and(|whole| reported.at <= whole);
--- a/crates/quarantine/src/evidence_log.rs
+++ b/crates/quarantine/src/evidence_log.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 struct LoggedRun {
     ended: TimePoint,
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     end: RunEnd,
 }
 
@@ -32,12 +32,12 @@
 
 impl EvidenceLog {
     /// Records a run that ended at `now`.
-    pub fn note(&mut self, now: TimePoint, print: RequestFingerprint, end: RunEnd) {
+    pub fn note(&mut self, now: TimePoint, fingerprint: RequestFingerprint, end: RunEnd) {
         self.runs.retain(|run| now.since(run.ended) < EVIDENCE_LIFETIME);
         if self.runs.len() == MAX_EVENTS {
             self.runs.remove(0);
         }
-        self.runs.push(LoggedRun { ended: now, print, end });
+        self.runs.push(LoggedRun { ended: now, fingerprint, end });
     }
 
     /// Records that the report after `nonce` may be the first one to a new leader.
@@ -58,7 +58,7 @@
             age < REPEAT_PERIOD || (all && age < EVIDENCE_LIFETIME)
         };
         let event = |run: &LoggedRun| RunEvent {
-            print: run.print,
+            print: run.fingerprint,
             age_ms: u64::try_from(now.since(run.ended).as_millis()).unwrap_or(u64::MAX),
             end: run.end.clone(),
         };
@@ -67,7 +67,7 @@
 
     /// Removes the runs of a request whose quarantine was lifted. A later leader would otherwise
     /// quarantine it again.
-    pub fn forget(&mut self, print: RequestFingerprint) {
-        self.runs.retain(|run| run.print != print);
+    pub fn forget(&mut self, fingerprint: RequestFingerprint) {
+        self.runs.retain(|run| run.fingerprint != fingerprint);
     }
 }
--- a/crates/quarantine/src/print_key.rs
+++ b/crates/quarantine/src/fingerprint_key.rs
@@ -3,21 +3,21 @@
 use briartray_model::names::RequestFingerprint;
 use sha2::{Digest, Sha256};
 
-/// Number of digest bytes that are used for a print.
-const PRINT_BYTES: usize = 16;
+/// Number of digest bytes that are used for a fingerprint.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// Secret key for the prints of all entries of a deployment.
+/// Secret key for the fingerprints of all entries of a deployment.
 ///
 /// With an unkeyed hash, collisions could be constructed, and one team could have the requests of
 /// another refused.
 #[derive(Debug, Clone)]
-pub struct PrintKey {
+pub struct FingerprintKey {
     keyed_hasher: Sha256,
 }
 
 /// Parts of a request that are the same in all its copies.
 #[derive(Debug, Clone, Copy)]
-pub struct PrintParts<'a> {
+pub struct FingerprintParts<'a> {
     /// Requested host name.
     pub host: &'a str,
     /// Path with query.
@@ -28,7 +28,7 @@
     pub body: &'a [u8],
 }
 
-impl PrintKey {
+impl FingerprintKey {
     /// Derives the key from `secret`.
     pub fn new(secret: &str) -> Self {
         let mut keyed_hasher = Sha256::new();
@@ -36,8 +36,8 @@
         Self { keyed_hasher }
     }
 
-    /// Computes the print of a request.
-    pub fn print(&self, parts: &PrintParts<'_>) -> RequestFingerprint {
+    /// Computes the fingerprint of a request.
+    pub fn fingerprint(&self, parts: &FingerprintParts<'_>) -> RequestFingerprint {
         let mut hasher = self.keyed_hasher.clone();
         update_with_length(&mut hasher, parts.host.as_bytes());
         update_with_length(&mut hasher, parts.path.as_bytes());
@@ -45,8 +45,8 @@
         update_with_length(&mut hasher, parts.team.unwrap_or_default().as_bytes());
         update_with_length(&mut hasher, parts.body);
         let digest = hasher.finalize();
-        let mut bytes = [0; PRINT_BYTES];
-        bytes.copy_from_slice(&digest[..PRINT_BYTES]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
         RequestFingerprint(u128::from_be_bytes(bytes))
     }
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,11 +1,11 @@
 //! Quarantine for requests that crash the endpoints that run them.
 //!
 //! A fatal request returns under a new id at any entry, and each copy takes an endpoint away from
-//! all other callers. Requests are therefore identified by their print, a keyed hash of their
-//! content. Entries report which prints were running when an endpoint crashed. The leader counts
-//! the crashes of each print in its [`CrashBook`], and quarantines the prints that were involved in
-//! several crashes without a complete run in between. The quarantine is part of the replicated
-//! state, and entries refuse the requests in it.
+//! all other callers. Requests are therefore identified by their fingerprint, a keyed hash of their
+//! content. Entries report which fingerprints were running when an endpoint crashed. The leader
+//! counts the crashes of each fingerprint in its [`CrashBook`], and quarantines the fingerprints
+//! that were involved in several crashes without a complete run in between. The quarantine is part
+//! of the replicated state, and entries refuse the requests in it.
 //!
 //! Every request that shares an endpoint with a fatal one is involved in its crash as well. Three
 //! rules tell them apart: a complete run elsewhere clears a request, simultaneous crashes count
@@ -13,15 +13,15 @@
 
 mod crash_book;
 mod evidence_log;
-mod print_guard;
-mod print_key;
+mod fingerprint_key;
+mod quarantine_guard;
 mod quarantine_list;
 mod quarantine_tracker;
 
 pub use crash_book::CrashBook;
 pub use evidence_log::EvidenceLog;
-pub use print_guard::{PrintGuard, PrintStanding};
-pub use print_key::{PrintKey, PrintParts};
+pub use fingerprint_key::{FingerprintKey, FingerprintParts};
+pub use quarantine_guard::{QuarantineGuard, QuarantineStatus};
 pub use quarantine_list::{QuarantineList, QuarantineRecord, ShownRecord};
 pub use quarantine_tracker::QuarantineTracker;
 
--- a/crates/quarantine/src/print_guard.rs
+++ b/crates/quarantine/src/quarantine_guard.rs
@@ -5,7 +5,7 @@
 
 /// Status of a request with regard to the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PrintStanding {
+pub enum QuarantineStatus {
     /// There is no evidence against the request.
     Clear,
     /// The request was involved in several crashes. It is not sent to a second endpoint, and its
@@ -17,14 +17,16 @@
 
 /// Most recent view of the quarantine at one entry.
 #[derive(Debug, Clone, Default)]
-pub struct PrintGuard {
+pub struct QuarantineGuard {
     view: FingerprintView,
 }
 
-impl PrintGuard {
+impl QuarantineGuard {
     /// Replaces the view; returns the requests that are no longer in quarantine.
     pub fn adopt(&mut self, view: FingerprintView) -> Vec<RequestFingerprint> {
-        let stays = |print: &&RequestFingerprint| view.quarantined.binary_search(print).is_err();
+        let stays = |fingerprint: &&RequestFingerprint| {
+            view.quarantined.binary_search(fingerprint).is_err()
+        };
         let lifted = self.view.quarantined.iter().filter(stays).copied().collect();
         self.view = view;
         lifted
@@ -40,14 +42,14 @@
         !self.view.quarantined.is_empty() || !self.view.suspects.is_empty()
     }
 
-    /// Status of the request with this print.
-    pub fn standing(&self, print: RequestFingerprint) -> PrintStanding {
-        if self.view.quarantined.binary_search(&print).is_ok() {
-            PrintStanding::Quarantined
-        } else if self.view.suspects.binary_search(&print).is_ok() {
-            PrintStanding::Suspect
+    /// Status of the request with this fingerprint.
+    pub fn status(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
+        if self.view.quarantined.binary_search(&fingerprint).is_ok() {
+            QuarantineStatus::Quarantined
+        } else if self.view.suspects.binary_search(&fingerprint).is_ok() {
+            QuarantineStatus::Suspect
         } else {
-            PrintStanding::Clear
+            QuarantineStatus::Clear
         }
     }
 }
--- a/crates/quarantine/src/quarantine_list.rs
+++ b/crates/quarantine/src/quarantine_list.rs
@@ -9,7 +9,7 @@
 plain_value! {
     /// A request in quarantine, with the evidence.
     pub struct QuarantineRecord {
-        /// Print of the request.
+        /// Fingerprint of the request.
         pub print: RequestFingerprint,
         /// Rule that applied to the request.
         pub rule: String,
@@ -21,7 +21,7 @@
 
     /// A request in quarantine as shown to operators.
     pub struct ShownRecord {
-        /// Print of the request, in text form.
+        /// Fingerprint of the request, in text form.
         pub print: String,
         /// Rule that applied to the request.
         pub rule: String,
@@ -56,17 +56,17 @@
         &self.records
     }
 
-    /// Whether `print` is in quarantine.
-    pub fn holds(&self, print: RequestFingerprint) -> bool {
-        self.records.iter().any(|record| record.print == print)
+    /// Whether `fingerprint` is in quarantine.
+    pub fn holds(&self, fingerprint: RequestFingerprint) -> bool {
+        self.records.iter().any(|record| record.print == fingerprint)
     }
 
-    /// The prints in ascending order.
-    pub fn prints(&self) -> Vec<RequestFingerprint> {
-        let mut prints: Vec<RequestFingerprint> =
+    /// The fingerprints in ascending order.
+    pub fn fingerprints(&self) -> Vec<RequestFingerprint> {
+        let mut fingerprints: Vec<RequestFingerprint> =
             self.records.iter().map(|record| record.print).collect();
-        prints.sort_unstable();
-        prints
+        fingerprints.sort_unstable();
+        fingerprints
     }
 
     /// Adds a request, unless it is already in the list.
@@ -81,7 +81,7 @@
     }
 
     /// Removes a request.
-    pub fn lift(&mut self, print: RequestFingerprint) {
-        self.records.retain(|record| record.print != print);
+    pub fn lift(&mut self, fingerprint: RequestFingerprint) {
+        self.records.retain(|record| record.print != fingerprint);
     }
 }
--- a/crates/quarantine/src/quarantine_tracker.rs
+++ b/crates/quarantine/src/quarantine_tracker.rs
@@ -47,27 +47,27 @@
         self.crashes.take_fatal()
     }
 
-    /// Records that the command for `print` was lost, so that it is repeated.
-    pub fn lost(&mut self, print: RequestFingerprint) {
-        self.crashes.lost(print);
+    /// Records that the command for `fingerprint` was lost, so that it is repeated.
+    pub fn lost(&mut self, fingerprint: RequestFingerprint) {
+        self.crashes.lost(fingerprint);
     }
 
-    /// Records that `print` was put into quarantine.
-    pub fn added(&mut self, print: RequestFingerprint) {
-        self.crashes.forget(print);
+    /// Records that `fingerprint` was put into quarantine.
+    pub fn added(&mut self, fingerprint: RequestFingerprint) {
+        self.crashes.forget(fingerprint);
         self.view_stale = true;
     }
 
-    /// Records that the quarantine of `print` was lifted.
-    pub fn lifted(&mut self, now: TimePoint, print: RequestFingerprint) {
-        self.crashes.clear(now, print);
+    /// Records that the quarantine of `fingerprint` was lifted.
+    pub fn lifted(&mut self, now: TimePoint, fingerprint: RequestFingerprint) {
+        self.crashes.clear(now, fingerprint);
         self.view_stale = true;
     }
 
     /// Removes expired crashes; returns the requests whose quarantine has expired.
     pub fn keep(&mut self, now: TimePoint, list: &QuarantineList) -> Vec<RequestFingerprint> {
         self.view_stale |= self.crashes.prune(now);
-        self.since.retain(|print, _| list.holds(*print));
+        self.since.retain(|fingerprint, _| list.holds(*fingerprint));
         let mut expired = Vec::new();
         for record in list.records() {
             let since = self.since.get_or_insert_with(record.print, || now);
@@ -88,7 +88,7 @@
     /// Updates the view if needed, for the leader's `term`, and returns it.
     pub fn refresh(&mut self, term: TermNumber, list: &QuarantineList) -> &FingerprintView {
         if std::mem::take(&mut self.view_stale) {
-            let (quarantined, suspects) = (list.prints(), self.crashes.suspects());
+            let (quarantined, suspects) = (list.fingerprints(), self.crashes.suspects());
             let known = &self.view;
             let same = known.quarantined == quarantined && known.suspects == suspects;
             if !same || known.version.term != term {
--- a/crates/quarantine/tests/decisions.rs
+++ b/crates/quarantine/tests/decisions.rs
@@ -6,8 +6,8 @@
 use briartray_model::names::{IncarnationId, RequestFingerprint, TeamName, TermNumber};
 use briartray_model::{TimePoint, codec};
 use briartray_quarantine::{
-    CrashBook, EvidenceLog, FATAL_CRASHES, PrintGuard, PrintKey, PrintParts, PrintStanding,
-    QuarantineList, QuarantineRecord, QuarantineTracker,
+    CrashBook, EvidenceLog, FATAL_CRASHES, FingerprintKey, FingerprintParts, QuarantineGuard,
+    QuarantineList, QuarantineRecord, QuarantineStatus, QuarantineTracker,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -29,12 +29,12 @@
     RunEvent { print, age_ms: 0, end }
 }
 
-/// Returns a book with one crash less for `print` than is fatal, each half a second apart.
-fn nearly_fatal(print: RequestFingerprint) -> CrashBook {
+/// Returns a book with one crash less for `fingerprint` than is fatal, each half a second apart.
+fn nearly_fatal(fingerprint: RequestFingerprint) -> CrashBook {
     let mut book = CrashBook::default();
     for number in 1..FATAL_CRASHES {
         let millis = 500 * u64::try_from(number).expect("the number of crashes fits into u64");
-        book.record_run(at(millis), &event(print, crashed(&format!("i-{number}"))));
+        book.record_run(at(millis), &event(fingerprint, crashed(&format!("i-{number}"))));
     }
     book
 }
@@ -43,10 +43,10 @@
     book.take_fatal().into_iter().map(|record| record.print).collect()
 }
 
-fn record(print: u128) -> QuarantineRecord {
+fn record(fingerprint: u128) -> QuarantineRecord {
     let endpoints = vec![IncarnationId::new("i-1")];
     QuarantineRecord {
-        print: RequestFingerprint(print),
+        print: RequestFingerprint(fingerprint),
         rule: "draft".to_owned(),
         team: None,
         endpoints,
@@ -166,17 +166,17 @@
     let mut log = EvidenceLog::default();
     log.note(at(0), FATAL, crashed("i-0"));
     log.note(at(0), RequestFingerprint(8), crashed("i-0"));
-    let mut guard = PrintGuard::default();
+    let mut guard = QuarantineGuard::default();
     let version = ViewVersion { term: TermNumber(1), number: 1 };
     let held = FingerprintView { version, quarantined: vec![FATAL], suspects: Vec::new() };
     guard.adopt(held.clone());
-    assert_eq!(guard.standing(FATAL), PrintStanding::Quarantined);
+    assert_eq!(guard.status(FATAL), QuarantineStatus::Quarantined);
 
-    for print in guard.adopt(FingerprintView { quarantined: Vec::new(), ..held }) {
-        log.forget(print);
+    for fingerprint in guard.adopt(FingerprintView { quarantined: Vec::new(), ..held }) {
+        log.forget(fingerprint);
     }
 
-    assert_eq!(guard.standing(FATAL), PrintStanding::Clear);
+    assert_eq!(guard.status(FATAL), QuarantineStatus::Clear);
     assert!(!guard.is_watching());
     assert_eq!(log.events_to_report(at(0)).len(), 1);
 }
@@ -188,10 +188,10 @@
     let mut log = EvidenceLog::default();
 
     for number in 0..20_000_u128 {
-        let print = RequestFingerprint(100 + number);
+        let fingerprint = RequestFingerprint(100 + number);
         let now = at(2_000 + u64::try_from(number).expect("the number of requests fits into u64"));
-        book.record_run(now, &event(print, crashed("i-x")));
-        log.note(now, print, crashed("i-x"));
+        book.record_run(now, &event(fingerprint, crashed("i-x")));
+        log.note(now, fingerprint, crashed("i-x"));
     }
     book.record_run(at(30_000), &event(FATAL, crashed("i-9")));
 
@@ -219,9 +219,9 @@
 fn quarantine_list_is_bounded_and_drops_the_oldest() {
     let mut list = QuarantineList::default();
 
-    for print in 0..300 {
-        list.add(&record(print));
-        list.add(&record(print));
+    for fingerprint in 0..300 {
+        list.add(&record(fingerprint));
+        list.add(&record(fingerprint));
     }
 
     assert_eq!(list.records().len(), 256);
@@ -289,30 +289,31 @@
     assert!(!tracker.is_view_stale(), "requests in quarantine are not counted again");
 }
 
-/// Guards against different requests with the same print: every part and the secret must count.
+/// Guards against different requests with the same fingerprint: every part and the secret must
+/// count.
 #[test]
 fn prints_distinguish_requests() {
-    let key = PrintKey::new("secret");
-    let parts = PrintParts { host: "a", path: "/draft/1", team: Some("t"), body: b"prompt" };
+    let key = FingerprintKey::new("secret");
+    let parts = FingerprintParts { host: "a", path: "/draft/1", team: Some("t"), body: b"prompt" };
     let others = [
-        PrintParts { host: "b", ..parts },
-        PrintParts { path: "/draft/1?x=1", ..parts },
-        PrintParts { team: None, ..parts },
-        PrintParts { team: Some(""), ..parts },
-        PrintParts { body: b"prompt ", ..parts },
-        PrintParts { path: "/draft/1prompt", body: b"", ..parts },
+        FingerprintParts { host: "b", ..parts },
+        FingerprintParts { path: "/draft/1?x=1", ..parts },
+        FingerprintParts { team: None, ..parts },
+        FingerprintParts { team: Some(""), ..parts },
+        FingerprintParts { body: b"prompt ", ..parts },
+        FingerprintParts { path: "/draft/1prompt", body: b"", ..parts },
     ];
 
-    let print = key.print(&parts);
+    let fingerprint = key.fingerprint(&parts);
 
-    assert_eq!(print, PrintKey::new("secret").print(&parts));
-    assert_ne!(print, PrintKey::new("other").print(&parts));
-    assert!(others.iter().all(|other| key.print(other) != print));
+    assert_eq!(fingerprint, FingerprintKey::new("secret").fingerprint(&parts));
+    assert_ne!(fingerprint, FingerprintKey::new("other").fingerprint(&parts));
+    assert!(others.iter().all(|other| key.fingerprint(other) != fingerprint));
 }
 
 /// A running request.
 struct SimulatedRequest {
-    print: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     group: usize,
     /// Number of endpoints that have run this copy.
     runs: u32,
@@ -353,11 +354,11 @@
     fn begin(&mut self) {
         let popular = self.random.random_bool(0.2);
         self.next_print += 1;
-        let print =
+        let fingerprint =
             if popular { RequestFingerprint(1) } else { RequestFingerprint(self.next_print) };
         let retries_left = if self.random.random_bool(0.1) { 4 } else { 1 };
         let group = self.random_group();
-        self.running.push(SimulatedRequest { print, group, runs: 1, retries_left });
+        self.running.push(SimulatedRequest { fingerprint, group, runs: 1, retries_left });
     }
 
     /// Simulates a tenth of a second: a tenth of the requests ends, and new ones start.
@@ -367,9 +368,9 @@
                 break;
             }
             let ended = self.random.random_range(0..self.running.len());
-            let print = self.running.swap_remove(ended).print;
-            if self.book.suspects().contains(&print) {
-                self.book.record_run(now, &event(print, RunEnd::Whole));
+            let fingerprint = self.running.swap_remove(ended).fingerprint;
+            if self.book.suspects().contains(&fingerprint) {
+                self.book.record_run(now, &event(fingerprint, RunEnd::Whole));
             }
         }
         while self.running.len() < Self::RUNNING {
@@ -387,8 +388,8 @@
             .partition(|request: &SimulatedRequest| request.group == group);
         self.running = rest;
         for mut request in hit {
-            self.book.record_run(now, &event(request.print, crashed(&endpoint)));
-            if request.runs < 2 && !self.book.suspects().contains(&request.print) {
+            self.book.record_run(now, &event(request.fingerprint, crashed(&endpoint)));
+            if request.runs < 2 && !self.book.suspects().contains(&request.fingerprint) {
                 request.runs += 1;
             } else if request.retries_left > 0 {
                 request.retries_left -= 1;
@@ -438,7 +439,7 @@
             let group = simulation.random_group();
             if tick % 4 == 0 && !found {
                 simulation.running.push(SimulatedRequest {
-                    print: FATAL,
+                    fingerprint: FATAL,
                     group,
                     runs: 2,
                     retries_left: 0,
