--- a/crates/cli/src/cmd/measure/leader.rs
+++ b/crates/cli/src/cmd/measure/leader.rs
@@ -11,7 +11,7 @@
     DirectorOutput, EndpointHeartbeat, EndpointReport, FleetDirector, GroupMembership, MemberState,
     OrderOutcome,
 };
-use briartray_fleet::message::{EntryReport, GroupPulse, ViewVersion};
+use briartray_fleet::message::{EntryReport, GroupActivity, ViewVersion};
 use briartray_fleet::state::{FleetCommand, FleetState, GroupHost, GroupRecord};
 use briartray_model::names::{DomainName, GroupId, IncarnationId, NodeName, ServiceName, ZoneName};
 use briartray_model::{TimePoint, codec};
@@ -154,7 +154,7 @@
     fn report_of(&self, entry: usize) -> EntryReport {
         let used_groups =
             self.state.groups().keys().enumerate().filter(|(at, _)| (at + entry).is_multiple_of(2));
-        let pulse = |(_, group): (usize, &GroupId)| GroupPulse {
+        let activity = |(_, group): (usize, &GroupId)| GroupActivity {
             group: *group,
             quiet_ms: Some(20),
             running: 1,
@@ -166,7 +166,7 @@
             plan: Some(1),
             view: ViewVersion::default(),
             settled: true,
-            pulses: used_groups.map(pulse).collect(),
+            pulses: used_groups.map(activity).collect(),
             demand: Vec::new(),
             serving: true,
             prints: ViewVersion::default(),
--- a/crates/fleet/src/director/group.rs
+++ b/crates/fleet/src/director/group.rs
@@ -10,8 +10,8 @@
 use briartray_model::names::{GroupId, IncarnationId};
 use briartray_model::{SortedTable, TimePoint};
 
+use super::group_activity::ActivityTracker;
 use super::hosts::HostTable;
-use super::pulse::PulseBook;
 use super::{CloseMethod, EndpointOrder, HostRecord, MemberState, OrderCall};
 use crate::deployment::DeploymentPlan;
 use crate::state::{FleetState, GroupHost, GroupRecord};
@@ -92,7 +92,7 @@
 pub(super) struct GroupContext<'a> {
     pub(super) now: TimePoint,
     pub(super) hosts: &'a HostTable,
-    pub(super) pulses: &'a PulseBook,
+    pub(super) activity: &'a ActivityTracker,
     pub(super) plan: &'a DeploymentPlan,
     /// Endpoints that take no new work, sorted.
     leaving: Vec<&'a IncarnationId>,
@@ -139,11 +139,11 @@
     pub(super) fn new(
         now: TimePoint,
         hosts: &'a HostTable,
-        pulses: &'a PulseBook,
+        activity: &'a ActivityTracker,
         state: &'a FleetState,
         plan: &'a DeploymentPlan,
     ) -> Self {
-        Self { now, hosts, pulses, plan, leaving: state.sorted_leaving() }
+        Self { now, hosts, activity, plan, leaving: state.sorted_leaving() }
     }
 
     /// Looks up the members of a group.
@@ -192,13 +192,13 @@
 
     fn is_missing(&self, member: &MemberView<'_>) -> bool {
         let suspect =
-            || self.context.pulses.is_suspect(self.context.now, self.group, self.silence_limit());
+            || self.context.activity.is_suspect(self.context.now, self.group, self.silence_limit());
         member.is_missing(suspect)
     }
 
     /// Whether an entry observes that the whole group works.
     fn is_active(&self) -> bool {
-        self.context.pulses.is_active(self.context.now, self.group, self.silence_limit())
+        self.context.activity.is_active(self.context.now, self.group, self.silence_limit())
     }
 
     /// Silence after which the group has most likely stalled.
--- a/crates/fleet/src/director/pulse.rs
+++ b/crates/fleet/src/director/group_activity.rs
@@ -18,7 +18,7 @@
 use briartray_model::{SortedTable, TimePoint};
 
 use crate::entry::report_interval;
-use crate::message::{GroupLoad, GroupPulse};
+use crate::message::{GroupActivity, GroupLoad};
 
 /// Time that an observation counts beyond the interval between two reports of its entry.
 const REPORT_GRACE: Duration = Duration::from_millis(100);
@@ -36,7 +36,7 @@
 
 /// Newest observations of all entries on all groups.
 #[derive(Debug, Clone, Default)]
-pub struct PulseBook {
+pub struct ActivityTracker {
     /// Keyed by group first: each query is about one group of many.
     groups: SortedTable<GroupId, GroupObservations>,
     /// Keys of the known entries.
@@ -64,7 +64,7 @@
     suspect: bool,
 }
 
-impl PulseBook {
+impl ActivityTracker {
     /// Sets the number of entries that report; each reports less often the more there are.
     pub fn set_entry_count(&mut self, entry_count: usize) {
         self.entry_count = entry_count;
@@ -79,10 +79,10 @@
         &mut self,
         now: TimePoint,
         entry: &NodeName,
-        pulses: &[GroupPulse],
+        activities: &[GroupActivity],
     ) -> Vec<GroupId> {
         let number = self.number_of(entry);
-        let mut named: Vec<GroupId> = pulses.iter().map(|pulse| pulse.group).collect();
+        let mut named: Vec<GroupId> = activities.iter().map(|activity| activity.group).collect();
         named.sort_unstable();
         for (group, observations) in self.groups.iter_mut() {
             let Some(observation) = observations.by_entry.get_mut(&number) else { continue };
@@ -90,23 +90,28 @@
                 observations.running -= std::mem::take(&mut observation.running);
             }
         }
-        for pulse in pulses {
-            self.record_pulse(now, number, pulse);
+        for activity in activities {
+            self.record_activity(now, number, activity);
         }
-        pulses.iter().filter(|pulse| pulse.suspect).map(|pulse| pulse.group).collect()
+        activities
+            .iter()
+            .filter(|activity| activity.suspect)
+            .map(|activity| activity.group)
+            .collect()
     }
 
-    fn record_pulse(&mut self, now: TimePoint, entry: EntryNumber, pulse: &GroupPulse) {
+    fn record_activity(&mut self, now: TimePoint, entry: EntryNumber, activity: &GroupActivity) {
         let observation = EntryObservation {
             reported_at: now,
-            quiet_for: pulse.quiet_ms.map(Duration::from_millis),
-            running: pulse.running,
-            suspect: pulse.suspect,
+            quiet_for: activity.quiet_ms.map(Duration::from_millis),
+            running: activity.running,
+            suspect: activity.suspect,
         };
-        let observations = self.groups.get_or_insert_with(pulse.group, GroupObservations::default);
+        let observations =
+            self.groups.get_or_insert_with(activity.group, GroupObservations::default);
         let earlier = observations.by_entry.insert(entry, observation);
         observations.running -= earlier.map_or(0, |observation| observation.running);
-        observations.running += pulse.running;
+        observations.running += activity.running;
     }
 
     fn number_of(&mut self, entry: &NodeName) -> EntryNumber {
@@ -140,12 +145,12 @@
         self.groups.retain(|group, _| keep(*group));
     }
 
-    /// Removes the observations of `entry` with its running requests, since it is gone.
+    /// Removes the observations of `entry` with its running requests when it has left.
     pub fn forget(&mut self, entry: &NodeName) {
         let Some(number) = self.entry_numbers.remove(entry) else { return };
         for observations in self.groups.values_mut() {
-            let gone = observations.by_entry.remove(&number);
-            observations.running -= gone.map_or(0, |observation| observation.running);
+            let removed = observations.by_entry.remove(&number);
+            observations.running -= removed.map_or(0, |observation| observation.running);
         }
     }
 
--- a/crates/fleet/src/director/mod.rs
+++ b/crates/fleet/src/director/mod.rs
@@ -8,6 +8,7 @@
 mod demand;
 mod evacuation;
 mod group;
+mod group_activity;
 mod heartbeat;
 mod host_record;
 mod hosts;
@@ -16,18 +17,17 @@
 mod order_window;
 mod plan;
 mod planning;
-mod pulse;
 mod records;
 mod stale_member;
 mod step;
 mod view;
 
 pub use demand::DemandBook;
+pub use group_activity::ActivityTracker;
 pub use heartbeat::{EndpointHeartbeat, EndpointReport, GroupMembership, MemberState};
 pub use host_record::HostRecord;
 pub use hosts::HostTable;
 pub use loads::LoadLimiter;
 pub use order::{CloseMethod, EndpointOrder, OrderCall, OrderOutcome, ProbeCall};
 pub use plan::{GroupPlanner, PlacedGroup, PlanAction, PlanView, PoolHost};
-pub use pulse::PulseBook;
 pub use step::{DirectorOutput, ENTRY_TIMEOUT, FleetDirector};
--- a/crates/fleet/src/director/step.rs
+++ b/crates/fleet/src/director/step.rs
@@ -7,11 +7,11 @@
 
 use super::demand::DemandBook;
 use super::group::{GroupContext, GroupStep, GroupTracker, next_step};
+use super::group_activity::ActivityTracker;
 use super::host_record::HostRecord;
 use super::hosts::HostTable;
 use super::loads::LoadLimiter;
 use super::order_window::OrderWindow;
-use super::pulse::PulseBook;
 use super::records::inherited_heartbeat;
 use super::stale_member;
 use super::{
@@ -71,7 +71,7 @@
     /// Whether a leader that took over has begun to act on groups.
     has_acted: bool,
     pub(super) hosts: HostTable,
-    pub(super) pulses: PulseBook,
+    pub(super) activity: ActivityTracker,
     pub(super) demand: DemandBook,
     next_demand_update: TimePoint,
     /// When the last new endpoint appeared.
@@ -179,12 +179,12 @@
     /// Records a report of an entry.
     pub fn report(&mut self, now: TimePoint, report: &EntryReport, state: &FleetState) {
         self.entries.insert(report.node.clone(), now);
-        self.pulses.set_entry_count(self.entries.len());
+        self.activity.set_entry_count(self.entries.len());
         self.serving |= report.serving;
         for demand in &report.demand {
             self.demand.add(now, demand);
         }
-        for silent in self.pulses.take(now, &report.node, &report.pulses) {
+        for silent in self.activity.take(now, &report.node, &report.pulses) {
             let Some(group) = state.groups().get(&silent) else { continue };
             for host in &group.members {
                 self.hosts.probe_suspect(now, &host.id);
@@ -194,16 +194,16 @@
 
     /// Running requests of the other entries, for all groups or for one page of many.
     pub fn loads_of_others(&self, report: &EntryReport) -> Vec<GroupLoad> {
-        self.pulses.loads_of_others(&report.node, report.nonce)
+        self.activity.loads_of_others(&report.node, report.nonce)
     }
 
     /// Removes entries that no longer report.
     fn expire_entries(&mut self, now: TimePoint) {
-        let pulses = &mut self.pulses;
+        let activity = &mut self.activity;
         self.entries.retain(|entry, last_report| {
             let is_current = now.since(*last_report) < ENTRY_TIMEOUT;
             if !is_current {
-                pulses.forget(entry);
+                activity.forget(entry);
             }
             is_current
         });
@@ -267,7 +267,7 @@
         let mut output = DirectorOutput::default();
         self.sync_records(now, state, &mut output);
         self.trackers.retain(|group, _| state.groups().contains_key(group));
-        self.pulses.retain(|group| state.groups().contains_key(&group));
+        self.activity.retain(|group| state.groups().contains_key(&group));
         self.expire_entries(now);
         self.add_probes(now, state, &mut output);
         if self.may_act(now) {
@@ -319,7 +319,7 @@
         state: &'a FleetState,
         plan: &'a DeploymentPlan,
     ) -> GroupContext<'a> {
-        GroupContext::new(now, &self.hosts, &self.pulses, state, plan)
+        GroupContext::new(now, &self.hosts, &self.activity, state, plan)
     }
 
     /// Records the model with which each host can join a group at once.
--- a/crates/fleet/src/entry/table.rs
+++ b/crates/fleet/src/entry/table.rs
@@ -18,7 +18,7 @@
 use crate::deployment::{RouteBook, RouteRule};
 use crate::limit::{EntryLimits, SendPermit};
 use crate::message::{
-    EndpointView, FleetView, GroupLoad, GroupPulse, GroupView, ViewUpdate, ViewVersion,
+    EndpointView, FleetView, GroupActivity, GroupLoad, GroupView, ViewUpdate, ViewVersion,
 };
 
 /// Silence after which a group becomes suspect if its engine is not known.
@@ -312,9 +312,9 @@
     }
 
     /// Returns what this entry observed of the groups, for its report.
-    pub fn pulses(&self, now: TimePoint) -> Vec<GroupPulse> {
-        let pulse = |(target, load): (&TargetId, &TargetLoad)| match target {
-            TargetId::Group(group) => Some(GroupPulse {
+    pub fn group_activity(&self, now: TimePoint) -> Vec<GroupActivity> {
+        let activity = |(target, load): (&TargetId, &TargetLoad)| match target {
+            TargetId::Group(group) => Some(GroupActivity {
                 group: *group,
                 quiet_ms: load
                     .last_byte_at
@@ -324,7 +324,7 @@
             }),
             TargetId::Endpoint(_) => None,
         };
-        self.loads.iter().filter(|(_, load)| load.needs_report(now)).filter_map(pulse).collect()
+        self.loads.iter().filter(|(_, load)| load.needs_report(now)).filter_map(activity).collect()
     }
 
     fn load(&mut self, target: &TargetId) -> &mut TargetLoad {
--- a/crates/fleet/src/message/mod.rs
+++ b/crates/fleet/src/message/mod.rs
@@ -17,7 +17,7 @@
 
 plain_value! {
     /// What an entry observed of one group since its previous report.
-    pub struct GroupPulse {
+    pub struct GroupActivity {
         /// The group.
         pub group: GroupId,
         /// Time since this entry received the group's last byte, in milliseconds; `None` if it
@@ -82,7 +82,7 @@
         /// Whether that view is complete: its leader had heard from all endpoints.
         pub settled: bool,
         /// Observations of the groups.
-        pub pulses: Vec<GroupPulse>,
+        pub pulses: Vec<GroupActivity>,
         /// Work that callers requested.
         pub demand: Vec<ModelDemand>,
         /// Whether any caller has sent a request to this entry yet.
--- a/crates/fleet/tests/director/fleet.rs
+++ b/crates/fleet/tests/director/fleet.rs
@@ -8,7 +8,7 @@
     EndpointHeartbeat, EndpointOrder, FleetDirector, MemberState, OrderCall, OrderOutcome,
 };
 use briartray_fleet::limit::EndpointRate;
-use briartray_fleet::message::{EntryReport, GroupPulse, ModelDemand, ViewVersion, WorkSum};
+use briartray_fleet::message::{EntryReport, GroupActivity, ModelDemand, ViewVersion, WorkSum};
 use briartray_fleet::state::{FleetCommand, FleetOutcome, FleetState};
 use briartray_model::TimePoint;
 use briartray_model::names::{
@@ -471,7 +471,7 @@
         }
         let since = Duration::from_millis(100);
         self.next_report_at = self.now.after(since);
-        let pulse = |(group, last_active): &(GroupId, TimePoint)| GroupPulse {
+        let activity = |(group, last_active): &(GroupId, TimePoint)| GroupActivity {
             group: *group,
             quiet_ms: u64::try_from(self.now.since(*last_active).as_millis()).ok(),
             running: 1,
@@ -488,7 +488,7 @@
             plan: Some(1),
             view: ViewVersion { term: TermNumber(self.term), number: 0 },
             settled: true,
-            pulses: self.last_active.iter().map(pulse).collect(),
+            pulses: self.last_active.iter().map(activity).collect(),
             demand: vec![demand_for(LARGE, self.demand.0), demand_for(SMALL, self.demand.1)],
             serving: true,
             prints: ViewVersion::default(),
--- a/crates/fleet/tests/director/large.rs
+++ b/crates/fleet/tests/director/large.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use briartray_fleet::deployment::DeploymentPlan;
-use briartray_fleet::message::{EntryReport, GroupPulse, ViewVersion};
+use briartray_fleet::message::{EntryReport, GroupActivity, ViewVersion};
 use briartray_model::TimePoint;
 use briartray_model::names::{GroupId, IncarnationId, NodeName, TermNumber};
 
@@ -88,14 +88,14 @@
 
 /// Sends a report of an entry that waits for bytes of `group`.
 fn report_silent(fleet: &mut TestFleet, entry: usize, group: GroupId) {
-    let pulse = GroupPulse { group, quiet_ms: Some(900), running: 1, suspect: true };
+    let activity = GroupActivity { group, quiet_ms: Some(900), running: 1, suspect: true };
     let report = EntryReport {
         node: NodeName::new(&format!("entry-{entry}")),
         nonce: 0,
         plan: Some(1),
         view: ViewVersion { term: TermNumber(1), number: 0 },
         settled: true,
-        pulses: vec![pulse],
+        pulses: vec![activity],
         demand: Vec::new(),
         serving: false,
         prints: ViewVersion::default(),
--- a/crates/gateway/src/control/entry_updates.rs
+++ b/crates/gateway/src/control/entry_updates.rs
@@ -142,7 +142,7 @@
         let Some(leadership) = &mut self.leadership else { return };
         // Other changes in the report reach the view at the next tick.
         let is_new = !leadership.entries.contains_key(&report.node);
-        leadership.view_dirty |= is_new || report.pulses.iter().any(|pulse| pulse.suspect);
+        leadership.view_dirty |= is_new || report.pulses.iter().any(|activity| activity.suspect);
         // State sent on the same stream arrives before any later reply, so it is not sent again.
         // Otherwise each plan would be sent twice, since a report is often in flight meanwhile.
         let known = leadership.entries.remove(&report.node);
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -250,7 +250,7 @@
             plan: self.book.borrow().as_ref().map(|book| book.version()),
             view: table.version(),
             settled: table.is_settled(),
-            pulses: table.pulses(now),
+            pulses: table.group_activity(now),
             demand: self.take_demand(),
             serving: self.serving.get(),
             prints: self.quarantine_guard.borrow().version(),
