--- a/crates/fleet/src/entry/table.rs
+++ b/crates/fleet/src/entry/table.rs
@@ -18,7 +18,7 @@
 use crate::deployment::{RouteBook, RouteRule};
 use crate::limit::{EntryLimits, SendPermit};
 use crate::message::{
-    EndpointView, FleetView, GroupLoad, GroupPulse, GroupView, ViewUpdate, ViewVersion,
+    EndpointView, FleetView, GroupActivity, GroupLoad, GroupView, ViewUpdate, ViewVersion,
 };
 
 /// Silence after which a group becomes suspect if its engine is not known.
@@ -95,7 +95,7 @@
     limits: EntryLimits,
     /// Whether a request needs a share of a cold endpoint's rate that the leader does not know of
     /// yet.
-    wants_share: bool,
+    share_requested: bool,
     random: ChaCha8Rng,
 }
 
@@ -109,7 +109,7 @@
             loads: SortedTable::new(),
             leaving: Vec::new(),
             limits: EntryLimits::default(),
-            wants_share: false,
+            share_requested: false,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -250,10 +250,10 @@
         &mut self.limits
     }
 
-    /// Returns and clears whether the leader should be told that a share of a cold endpoint's rate
-    /// is needed.
+    /// Returns and clears whether the leader should be notified that a share of a cold endpoint's
+    /// rate is needed.
     pub fn take_share_request(&mut self) -> bool {
-        std::mem::take(&mut self.wants_share)
+        std::mem::take(&mut self.share_requested)
     }
 
     /// Records that a request to `target` ended.
@@ -312,9 +312,9 @@
     }
 
     /// Returns what this entry observed of the groups, for its report.
-    pub fn pulses(&self, now: TimePoint) -> Vec<GroupPulse> {
-        let pulse = |(target, load): (&TargetId, &TargetLoad)| match target {
-            TargetId::Group(group) => Some(GroupPulse {
+    pub fn group_activity(&self, now: TimePoint) -> Vec<GroupActivity> {
+        let activity = |(target, load): (&TargetId, &TargetLoad)| match target {
+            TargetId::Group(group) => Some(GroupActivity {
                 group: *group,
                 quiet_ms: load
                     .last_byte_at
@@ -324,7 +324,7 @@
             }),
             TargetId::Endpoint(_) => None,
         };
-        self.loads.iter().filter(|(_, load)| load.needs_report(now)).filter_map(pulse).collect()
+        self.loads.iter().filter(|(_, load)| load.needs_report(now)).filter_map(activity).collect()
     }
 
     fn load(&mut self, target: &TargetId) -> &mut TargetLoad {
@@ -404,7 +404,7 @@
                 continue;
             }
             let endpoint = &candidate.choice.endpoint;
-            self.wants_share |= self.limits.record_demand(endpoint);
+            self.share_requested |= self.limits.record_demand(endpoint);
             let surplus = match self.limits.permit(now, endpoint) {
                 SendPermit::Denied { wait } => {
                     limited = Some(limited.map_or(wait, |known| known.min(wait)));
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -17,7 +17,9 @@
 use briartray_model::{SortedTable, TimePoint};
 use briartray_node::ClockReader;
 use briartray_platform::CallerHead;
-use briartray_quarantine::{EvidenceLog, PrintGuard, PrintKey, PrintParts, PrintStanding};
+use briartray_quarantine::{
+    EvidenceLog, FingerprintKey, FingerprintParts, QuarantineGuard, QuarantineStatus,
+};
 use crossbeam::channel::Sender;
 use tokio::sync::Notify;
 
@@ -36,8 +38,8 @@
     lease: RefCell<EntryLease>,
     budget: RefCell<RetryBudget>,
     pub(super) pool: RefCell<ConnectionPool>,
-    fingerprint_key: PrintKey,
-    quarantine_guard: RefCell<PrintGuard>,
+    fingerprint_key: FingerprintKey,
+    quarantine_guard: RefCell<QuarantineGuard>,
     /// Runs that ended in a crash, and completed runs of suspected requests, which are reported to
     /// the leader.
     pub(super) evidence_log: RefCell<EvidenceLog>,
@@ -83,7 +85,7 @@
             lease: RefCell::new(EntryLease::new(limits.lease_bound())),
             budget: RefCell::new(budget),
             pool: RefCell::new(ConnectionPool::default()),
-            fingerprint_key: PrintKey::new(&settings.link_token),
+            fingerprint_key: FingerprintKey::new(&settings.link_token),
             quarantine_guard: RefCell::default(),
             evidence_log: RefCell::default(),
             broken_runs: RefCell::default(),
@@ -132,9 +134,9 @@
     }
 
     /// As [`Self::book`]. Shortly after the start it waits until the rules and targets are known,
-    /// for up to `patience`.
-    pub(super) async fn wait_for_book(&self, patience: Duration) -> Option<Rc<RouteBook>> {
-        self.wait_at_startup(patience, || self.has_routing_state()).await;
+    /// for up to `max_wait`.
+    pub(super) async fn wait_for_book(&self, max_wait: Duration) -> Option<Rc<RouteBook>> {
+        self.wait_at_startup(max_wait, || self.has_routing_state()).await;
         self.book()
     }
 
@@ -147,18 +149,18 @@
         &self,
         service: &ServiceName,
         model: Option<&str>,
-        patience: Duration,
+        max_wait: Duration,
     ) {
-        self.wait_at_startup(patience, || self.table.borrow().serves(service, model)).await;
+        self.wait_at_startup(max_wait, || self.table.borrow().serves(service, model)).await;
     }
 
     /// Waits for notices until `met` holds, at most as long as the startup wait allows. Callers
     /// check the condition again.
-    async fn wait_at_startup(&self, patience: Duration, met: impl Fn() -> bool) {
+    async fn wait_at_startup(&self, max_wait: Duration, met: impl Fn() -> bool) {
         if met() {
             return;
         }
-        let limit = self.startup_wait.patience(self.now(), patience);
+        let limit = self.startup_wait.max_wait(self.now(), max_wait);
         let waited = async {
             while !met() {
                 self.notice_notify.notified().await;
@@ -248,7 +250,7 @@
             plan: self.book.borrow().as_ref().map(|book| book.version()),
             view: table.version(),
             settled: table.is_settled(),
-            pulses: table.pulses(now),
+            pulses: table.group_activity(now),
             demand: self.take_demand(),
             serving: self.serving.get(),
             prints: self.quarantine_guard.borrow().version(),
@@ -314,8 +316,8 @@
             table.update(self.now(), update);
         }
         table.record_other_loads(self.now(), &notice.loads);
-        if let Some(prints) = notice.prints {
-            self.adopt_quarantine(prints);
+        if let Some(fingerprints) = notice.prints {
+            self.adopt_quarantine(fingerprints);
         }
         // The lease is renewed last: it confirms the state sent with it.
         if let Some(nonce) = notice.nonce {
@@ -360,15 +362,15 @@
     }
 
     /// Computes the fingerprint of a request from `parts`.
-    pub(super) fn fingerprint(&self, parts: &PrintParts<'_>) -> RequestFingerprint {
-        self.fingerprint_key.print(parts)
+    pub(super) fn fingerprint(&self, parts: &FingerprintParts<'_>) -> RequestFingerprint {
+        self.fingerprint_key.fingerprint(parts)
     }
 
     /// Quarantine status of a request; `compute` returns its fingerprint.
-    pub(super) fn standing(&self, compute: impl FnOnce() -> RequestFingerprint) -> PrintStanding {
+    pub(super) fn status(&self, compute: impl FnOnce() -> RequestFingerprint) -> QuarantineStatus {
         let guard = self.quarantine_guard.borrow();
         // A fingerprint needs a pass over the body, so it is computed only after crashes.
-        if guard.is_watching() { guard.standing(compute()) } else { PrintStanding::Clear }
+        if guard.is_watching() { guard.status(compute()) } else { QuarantineStatus::Clear }
     }
 
     fn adopt_plan(&self, stored_plan: &StoredPlan) {
