--- a/crates/fleet/src/message/view_history.rs
+++ b/crates/fleet/src/message/view_history.rs
@@ -13,7 +13,7 @@
 }
 
 impl ViewHistory {
-    /// Adds a newer view and drops the oldest one if [`MAX_VIEWS`] are held.
+    /// Adds a newer view and drops the oldest one if `MAX_VIEWS` are held.
     pub fn push(&mut self, view: FleetView) {
         if self.views.len() == MAX_VIEWS {
             self.views.remove(0);
