--- a/crates/cli/src/cmd/measure/choice/model.rs
+++ b/crates/cli/src/cmd/measure/choice/model.rs
@@ -24,8 +24,8 @@
 /// Delay before a request that found no replica with room chooses again, in microseconds.
 const CHOICE_RETRY_MICROS: u64 = 5_000;
 
-/// Factor on the step time of a straggler.
-const STRAGGLER_STEP_FACTOR: f64 = 4.0;
+/// Factor on the step time of a slow replica.
+const SLOW_REPLICA_STEP_FACTOR: f64 = 4.0;
 
 /// Size and costs of the simulated fleet.
 #[derive(Debug, Clone)]
@@ -119,8 +119,8 @@
         if same { self.same_zone_micros } else { self.cross_zone_micros }
     }
 
-    /// Every fiftieth replica, and at least one, is a straggler in the second quarter of the run.
-    fn is_straggler(&self, replica: usize) -> bool {
+    /// Every fiftieth replica, and at least one, is slow in the second quarter of the run.
+    fn is_slow_replica(&self, replica: usize) -> bool {
         replica % 50 == 11
     }
 }
@@ -148,7 +148,7 @@
     End(usize),
     Report,
     CacheEvent { prefix: u32, replica: usize, stored: bool },
-    SetStragglers(bool),
+    SetSlowReplicas(bool),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -230,8 +230,8 @@
         let end = self.plan.seconds * 1_000_000;
         self.schedule(0, ModelEvent::Arrive);
         self.schedule(0, ModelEvent::Report);
-        self.schedule(end / 4, ModelEvent::SetStragglers(true));
-        self.schedule(end / 2, ModelEvent::SetStragglers(false));
+        self.schedule(end / 4, ModelEvent::SetSlowReplicas(true));
+        self.schedule(end / 2, ModelEvent::SetSlowReplicas(false));
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= end {
                 return;
@@ -258,10 +258,10 @@
                     entry.apply_cache_event(prefix, replica, stored);
                 }
             }
-            ModelEvent::SetStragglers(slow) => {
+            ModelEvent::SetSlowReplicas(slow) => {
                 for (number, replica) in self.replicas.iter_mut().enumerate() {
-                    let slow = slow && self.plan.is_straggler(number);
-                    replica.step_factor = if slow { STRAGGLER_STEP_FACTOR } else { 1.0 };
+                    let slow = slow && self.plan.is_slow_replica(number);
+                    replica.step_factor = if slow { SLOW_REPLICA_STEP_FACTOR } else { 1.0 };
                 }
             }
         }
--- a/crates/cli/src/trial/fault.rs
+++ b/crates/cli/src/trial/fault.rs
@@ -290,7 +290,7 @@
 }
 
 /// Shuts an entry down gracefully while callers use it; they switch to the other entry once the
-/// first one refuses or is gone.
+/// first one refuses connections or has ended.
 fn entry_terminated(
     plan: &TrialPlan,
     length: Duration,
--- a/crates/cli/tests/idempotency_keys.rs
+++ b/crates/cli/tests/idempotency_keys.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn retry_of_stream_gets_the_first_events() {
-    // As above for a streamed answer: the stored events are replayed, including the end marker.
+    // For a streamed answer, the stored events are replayed, including the end marker.
     let fleet = ready_fleet(&DemoPlan::default());
     let body = completion("confirm lot 8", 5, true);
 
--- a/crates/control/src/agreement/progress.rs
+++ b/crates/control/src/agreement/progress.rs
@@ -28,7 +28,7 @@
     pub(super) round: u64,
     pub(super) snapshot_offset: Option<u64>,
     pub(super) pending_seat: Option<FolderId>,
-    /// The host is considered permanently gone and may be replaced.
+    /// The host is considered permanently lost and may be replaced.
     pub(super) absent: bool,
 }
 
--- a/crates/fleet/src/director/hosts.rs
+++ b/crates/fleet/src/director/hosts.rs
@@ -1,7 +1,7 @@
 //! Table of known endpoints, with failure detection.
 //!
 //! A heartbeat every second or so detects a loss too late: a group stalls as soon as one member is
-//! gone, while its head goes on accepting requests. So members are probed for a report every
+//! lost, while its head goes on accepting requests. So members are probed for a report every
 //! [`PROBE_INTERVAL`], at once when an entry finds a group silent, and again right after a failure.
 //! Two consecutive failures without a sign of life count as a loss; a single one may be a lost
 //! packet.
@@ -57,7 +57,7 @@
     /// nothing, and the identity of both is checked. When late heartbeats were believed, endpoints
     /// that had just come back were taken for dead and their groups were ended.
     ///
-    /// An endpoint may also restart under its old name: its earlier incarnation is then gone with
+    /// An endpoint may also restart under its old name: its earlier incarnation has then ended with
     /// its groups and its sequence numbers, and a late heartbeat of it is ignored.
     pub fn heartbeat(&mut self, now: TimePoint, heartbeat: EndpointHeartbeat) -> bool {
         if self.records.get(&heartbeat.id).is_none() && !self.replace_earlier(&heartbeat.id) {
--- a/crates/fleet/src/director/plan/stage.rs
+++ b/crates/fleet/src/director/plan/stage.rs
@@ -54,7 +54,8 @@
             if *given >= EARLY_LOADS_PER_DOMAIN {
                 continue;
             }
-            if let Some((_, model)) = self.scarcest(host, &self.wanted, &domain_supply) {
+            if let Some((_, model)) = self.least_supplied_model(host, &self.wanted, &domain_supply)
+            {
                 *given += 1;
                 loads.push(PlanAction::Stage { host: host.id.clone(), model: model.name.clone() });
             }
@@ -99,7 +100,7 @@
     fn stage_empty(&self, wanted: &[f64]) -> Option<PlanAction> {
         let empty = |host: &&PoolHost| host.is_empty() && host.standby.is_none();
         let host = self.view.free.iter().find(empty)?;
-        let (_, model) = self.scarcest(host, wanted, &self.domain_supply())?;
+        let (_, model) = self.least_supplied_model(host, wanted, &self.domain_supply())?;
         Some(PlanAction::Stage { host: host.id.clone(), model: model.name.clone() })
     }
 
@@ -110,7 +111,7 @@
         let hosts = self.view.free.iter().chain(self.grouped_hosts());
         let able = hosts.filter(|host| host.warm_model.is_some() && host.has_room());
         let loads = able.filter_map(|host| {
-            let (supply, model) = self.scarcest(host, wanted, &domain_supply)?;
+            let (supply, model) = self.least_supplied_model(host, wanted, &domain_supply)?;
             Some((supply, host, model))
         });
         let (_, host, model) = loads.min_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -119,7 +120,7 @@
 
     /// Model that `host` cannot serve and that has the smallest supply in its domain, with that
     /// supply: the ratio of hosts that can serve it to hosts that should.
-    fn scarcest(
+    fn least_supplied_model(
         &self,
         host: &PoolHost,
         wanted: &[f64],
--- a/crates/fleet/src/director/records.rs
+++ b/crates/fleet/src/director/records.rs
@@ -30,11 +30,11 @@
             self.announced.extend(records.iter().map(|record| record.id.clone()));
             output.commands.push(FleetCommand::Announce(records));
         }
-        let gone = state.endpoints().keys().filter(|id| self.hosts.get(id).is_none());
-        let gone: Vec<IncarnationId> = gone.take(MAX_RECORDS_PER_COMMAND).cloned().collect();
-        if !gone.is_empty() {
-            self.announced.retain(|known| !gone.contains(known));
-            output.commands.push(FleetCommand::Forget(gone));
+        let ended = state.endpoints().keys().filter(|id| self.hosts.get(id).is_none());
+        let ended: Vec<IncarnationId> = ended.take(MAX_RECORDS_PER_COMMAND).cloned().collect();
+        if !ended.is_empty() {
+            self.announced.retain(|known| !ended.contains(known));
+            output.commands.push(FleetCommand::Forget(ended));
         }
     }
 }
--- a/crates/fleet/src/director/step.rs
+++ b/crates/fleet/src/director/step.rs
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Removes an endpoint that is gone for good.
+    /// Removes an endpoint that has ended and will not return.
     pub fn endpoint_gone(&mut self, id: &IncarnationId) {
         self.replan_needed = true;
         self.hosts.remove(id);
--- a/crates/fleet/src/entry/answer_timeout.rs
+++ b/crates/fleet/src/entry/answer_timeout.rs
@@ -54,7 +54,7 @@
 
     /// Processes a notice. Only a notice of a leader counts as an answer; any other one shows that
     /// the host is up and will name the next leader as soon as there is one.
-    pub fn heard(&mut self, notice: &EntryNotice) {
+    pub fn response_received(&mut self, notice: &EntryNotice) {
         self.timeout = ANSWER_TIMEOUT;
         if notice.nonce.is_some() || notice.leads {
             self.waiting_since = None;
--- a/crates/fleet/src/entry/attempt.rs
+++ b/crates/fleet/src/entry/attempt.rs
@@ -1,8 +1,8 @@
 //! What follows a failed attempt.
 //!
 //! A request that may have run and must not run twice is never sent again, and the caller is not
-//! told that it did not run. Any other request may go to another replica while time, attempts and
-//! the retry budget allow.
+//! notified that it did not run. Any other request may go to another replica while time, attempts
+//! and the retry budget allow.
 
 use crate::deployment::RepeatKind;
 
--- a/crates/fleet/src/entry/load.rs
+++ b/crates/fleet/src/entry/load.rs
@@ -141,7 +141,7 @@
 
     /// Estimated number of requests that the target runs and holds.
     pub fn total(&self, now: TimePoint) -> f64 {
-        f64::from(self.own_requests) + self.others_now(now)
+        f64::from(self.own_requests) + self.current_other_requests(now)
     }
 
     /// Number of requests that this entry may send now to a target with `slots` slots that
@@ -170,7 +170,7 @@
         self.suspect_until.is_some_and(|until| now < until)
     }
 
-    fn others_now(&self, now: TimePoint) -> f64 {
+    fn current_other_requests(&self, now: TimePoint) -> f64 {
         let Some(updated_at) = self.others_updated_at else { return 0.0 };
         let stale = now.since(updated_at).saturating_sub(OTHERS_FRESH_FOR);
         let halves = stale.as_secs_f64() / OTHERS_HALF_LIFE.as_secs_f64();
--- a/crates/fleet/src/entry/startup.rs
+++ b/crates/fleet/src/entry/startup.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns how long a request whose caller waits for `deadline` may wait.
-    pub fn patience(&self, now: TimePoint, deadline: Duration) -> Duration {
+    pub fn max_wait(&self, now: TimePoint, deadline: Duration) -> Duration {
         self.until.since(now).min(MAX_REQUEST_WAIT).min(deadline / DEADLINE_DIVISOR)
     }
 }
--- a/crates/fleet/src/entry/table.rs
+++ b/crates/fleet/src/entry/table.rs
@@ -95,7 +95,7 @@
     limits: EntryLimits,
     /// Whether a request needs a share of a cold endpoint's rate that the leader does not know of
     /// yet.
-    wants_share: bool,
+    share_requested: bool,
     random: ChaCha8Rng,
 }
 
@@ -109,7 +109,7 @@
             loads: SortedTable::new(),
             leaving: Vec::new(),
             limits: EntryLimits::default(),
-            wants_share: false,
+            share_requested: false,
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -250,10 +250,10 @@
         &mut self.limits
     }
 
-    /// Returns and clears whether the leader should be told that a share of a cold endpoint's rate
-    /// is needed.
+    /// Returns and clears whether the leader should be notified that a share of a cold endpoint's
+    /// rate is needed.
     pub fn take_share_request(&mut self) -> bool {
-        std::mem::take(&mut self.wants_share)
+        std::mem::take(&mut self.share_requested)
     }
 
     /// Records that a request to `target` ended.
@@ -404,7 +404,7 @@
                 continue;
             }
             let endpoint = &candidate.choice.endpoint;
-            self.wants_share |= self.limits.record_demand(endpoint);
+            self.share_requested |= self.limits.record_demand(endpoint);
             let surplus = match self.limits.permit(now, endpoint) {
                 SendPermit::Denied { wait } => {
                     limited = Some(limited.map_or(wait, |known| known.min(wait)));
--- a/crates/fleet/src/limit/limit_allocator.rs
+++ b/crates/fleet/src/limit/limit_allocator.rs
@@ -13,7 +13,7 @@
 /// Limit on tracked endpoints with a limit.
 const MAX_TRACKED_ENDPOINTS: usize = 256;
 
-/// Limit on endpoints that an entry is told of without having reported them: about 2 KB in a
+/// Limit on endpoints that an entry is notified of without having reported them: about 2 KB in a
 /// notice.
 const MAX_UNREPORTED_GRANTS: usize = 64;
 
--- a/crates/fleet/src/message/view.rs
+++ b/crates/fleet/src/message/view.rs
@@ -169,10 +169,10 @@
             return None;
         }
         let id = |view: &EndpointView| view.id.clone();
-        let gone = &update.gone_endpoints;
-        let endpoints = sorted_merge(&self.endpoints, update.endpoints, gone, id);
-        let gone = &update.gone_groups;
-        let groups = sorted_merge(&self.groups, update.groups, gone, |view| view.group);
+        let removed = &update.gone_endpoints;
+        let endpoints = sorted_merge(&self.endpoints, update.endpoints, removed, id);
+        let removed = &update.gone_groups;
+        let groups = sorted_merge(&self.groups, update.groups, removed, |view| view.group);
         Some(Self { version, endpoints, groups, entries, partial })
     }
 }
@@ -187,21 +187,21 @@
     let at = |views: &[V], wanted: &K| views.binary_search_by_key(wanted, &name).ok();
     let same = |view: &&V| at(old, &name(view)).is_some_and(|index| old[index] == **view);
     let changed = new.iter().filter(|view| !same(view)).cloned().collect();
-    let gone = old.iter().map(&name).filter(|known| at(new, known).is_none()).collect();
-    (changed, gone)
+    let removed = old.iter().map(&name).filter(|known| at(new, known).is_none()).collect();
+    (changed, removed)
 }
 
-/// Returns `old` without the names in `gone` and with the parts in `changed` added or replaced,
+/// Returns `old` without the names in `removed` and with the parts in `changed` added or replaced,
 /// sorted by name.
 fn sorted_merge<V: Clone, K: Ord>(
     old: &[V],
     changed: Vec<V>,
-    gone: &[K],
+    removed: &[K],
     name: impl Fn(&V) -> K,
 ) -> Vec<V> {
     let replaced = |view: &&V| {
         let known = name(view);
-        gone.binary_search(&known).is_ok() || changed.binary_search_by_key(&known, &name).is_ok()
+        removed.binary_search(&known).is_ok() || changed.binary_search_by_key(&known, &name).is_ok()
     };
     let mut views: Vec<V> = old.iter().filter(|view| !replaced(view)).cloned().collect();
     views.extend(changed);
--- a/crates/fleet/tests/entry_decisions.rs
+++ b/crates/fleet/tests/entry_decisions.rs
@@ -295,7 +295,7 @@
 }
 
 /// The connection breaks under a request that may run only once. It may have run, so it must not be
-/// sent again, and the caller must not be told that it did not run.
+/// sent again, and the caller must not be notified that it did not run.
 #[test]
 fn a_run_once_request_that_may_have_run_is_not_retried() {
     let plan = attempt(RepeatKind::Once, 1, true);
@@ -347,10 +347,10 @@
     let wait = StartupWait::new(started);
     let long = Duration::from_secs(8);
 
-    let at_once = wait.patience(started, long);
-    let short = wait.patience(started, Duration::from_millis(900));
-    let at_the_end = wait.patience(started.after(Duration::from_millis(2_900)), long);
-    let later = wait.patience(started.after(Duration::from_secs(4)), long);
+    let at_once = wait.max_wait(started, long);
+    let short = wait.max_wait(started, Duration::from_millis(900));
+    let at_the_end = wait.max_wait(started.after(Duration::from_millis(2_900)), long);
+    let later = wait.max_wait(started.after(Duration::from_secs(4)), long);
 
     assert_eq!(at_once, Duration::from_millis(1_300));
     assert_eq!(short, Duration::from_millis(300));
--- a/crates/fleet/tests/views.rs
+++ b/crates/fleet/tests/views.rs
@@ -162,8 +162,8 @@
         let mut held: Vec<Option<ViewVersion>> = vec![None; entries];
         let mut sent = 0;
         for number in 1..=12 {
-            let heard = groups * number / 12;
-            let opened = |id| group(id, id <= heard);
+            let reported = groups * number / 12;
+            let opened = |id| group(id, id <= reported);
             let groups = (1..=groups).map(opened).collect();
             let partial = number < 12;
             history.push(FleetView { version: version(number), groups, partial, ..view(number) });
@@ -202,7 +202,7 @@
 
     for report in 1..10 {
         wait.report_sent(at(report * 80));
-        wait.heard(&notice(false, None));
+        wait.response_received(&notice(false, None));
     }
 
     assert!(wait.is_expired(at(720)));
@@ -216,7 +216,7 @@
     let mut wait = AnswerTimeout::new(at(0));
 
     wait.report_sent(at(10));
-    wait.heard(&notice(true, None));
+    wait.response_received(&notice(true, None));
     let kept = !wait.is_expired(at(2_000));
     wait.report_sent(at(2_000));
     let patient = !wait.is_expired(at(2_600));
@@ -246,7 +246,7 @@
     let mut wait = AnswerTimeout::searching(at(0), 0);
 
     wait.report_sent(at(10));
-    wait.heard(&notice(false, None));
+    wait.response_received(&notice(false, None));
 
     assert!(!wait.is_expired(at(690)));
     assert!(wait.is_expired(at(700)));
--- a/crates/gateway/src/control/core.rs
+++ b/crates/gateway/src/control/core.rs
@@ -328,9 +328,9 @@
                 self.receive_heartbeat(now, heartbeat, reply)
             }
             CoreInput::Leave { id, reply } => self.receive_leave(id, reply),
-            CoreInput::Probed { answer, asker: None } => self.receive_probe_answer(now, answer),
-            CoreInput::Probed { answer, asker: Some(asker) } => {
-                self.relay_buffer.buffer_answer(now, asker, answer);
+            CoreInput::Probed { answer, requester: None } => self.receive_probe_answer(now, answer),
+            CoreInput::Probed { answer, requester: Some(requester) } => {
+                self.relay_buffer.buffer_answer(now, requester, answer);
             }
             CoreInput::Ordered { call, outcome } => self.receive_order_result(now, &call, outcome),
             CoreInput::Stop => {}
--- a/crates/gateway/src/control/endpoint_client.rs
+++ b/crates/gateway/src/control/endpoint_client.rs
@@ -33,8 +33,8 @@
 /// A call to an endpoint.
 #[derive(Debug)]
 pub(super) enum EndpointCall {
-    /// Request a report, on behalf of the leader `asker` if another host leads.
-    Probe { call: ProbeCall, asker: Option<NodeName> },
+    /// Request a report, on behalf of the leader `requester` if another host leads.
+    Probe { call: ProbeCall, requester: Option<NodeName> },
     /// Send an order in the leader's term.
     Order { call: OrderCall, term: u64 },
 }
@@ -60,9 +60,9 @@
     /// Performs `call` and passes its result to the control thread.
     pub(super) async fn run(self, call: EndpointCall) {
         let input = match call {
-            EndpointCall::Probe { call, asker } => {
+            EndpointCall::Probe { call, requester } => {
                 let result = self.probe(&call).await;
-                CoreInput::Probed { answer: ProbeAnswer { id: call.id, result }, asker }
+                CoreInput::Probed { answer: ProbeAnswer { id: call.id, result }, requester }
             }
             EndpointCall::Order { call, term } => {
                 let outcome = self.order(&call, term).await;
--- a/crates/gateway/src/control/input.rs
+++ b/crates/gateway/src/control/input.rs
@@ -120,8 +120,8 @@
     Heartbeat { heartbeat: EndpointHeartbeat, reply: ReplySender },
     /// An endpoint is leaving and takes no new work.
     Leave { id: IncarnationId, reply: ReplySender },
-    /// A probe has ended; `asker` is the leader that requested it, if another host leads.
-    Probed { answer: ProbeAnswer, asker: Option<NodeName> },
+    /// A probe has ended; `requester` is the leader that requested it, if another host leads.
+    Probed { answer: ProbeAnswer, requester: Option<NodeName> },
     /// An order was answered or timed out.
     Ordered { call: OrderCall, outcome: OrderOutcome },
     /// Stop the thread.
--- a/crates/gateway/src/control/relay.rs
+++ b/crates/gateway/src/control/relay.rs
@@ -48,11 +48,11 @@
         let _ = reply.send(ControlReply::Done);
     }
 
-    /// Probes endpoints on behalf of the leader `asker`.
-    pub(super) fn probe_for(&mut self, asker: &NodeName, probes: Vec<ProbeCall>) {
+    /// Probes endpoints on behalf of the leader `requester`.
+    pub(super) fn probe_for(&mut self, requester: &NodeName, probes: Vec<ProbeCall>) {
         for call in probes {
-            let asker = Some(asker.clone());
-            let _ = self.parts.calls.send(EndpointCall::Probe { call, asker });
+            let requester = Some(requester.clone());
+            let _ = self.parts.calls.send(EndpointCall::Probe { call, requester });
         }
     }
 
@@ -68,7 +68,7 @@
             match probing_host(&call.id, &relays).filter(|_| !call.urgent) {
                 Some(relay) => shared.get_or_insert_with(relay.clone(), Vec::new).push(call),
                 None => {
-                    let _ = self.parts.calls.send(EndpointCall::Probe { call, asker: None });
+                    let _ = self.parts.calls.send(EndpointCall::Probe { call, requester: None });
                 }
             }
         }
@@ -91,10 +91,10 @@
                 self.parts.peers.send(&leader, CoreMessage::Beats(batch.to_vec()));
             }
         }
-        for (asker, answers) in answers.iter() {
+        for (requester, answers) in answers.iter() {
             self.parts.metrics.relayed_answers.inc_by(answers.len() as u64);
             for batch in answers.chunks(BATCH_SIZE) {
-                self.parts.peers.send(asker, CoreMessage::Told(batch.to_vec()));
+                self.parts.peers.send(requester, CoreMessage::Told(batch.to_vec()));
             }
         }
     }
--- a/crates/gateway/src/control/relay_buffer.rs
+++ b/crates/gateway/src/control/relay_buffer.rs
@@ -28,9 +28,14 @@
         self.flush_at
     }
 
-    /// Buffers the answer to a probe that `asker` requested.
-    pub(super) fn buffer_answer(&mut self, now: TimePoint, asker: NodeName, answer: ProbeAnswer) {
-        self.answers.get_or_insert_with(asker, Vec::new).push(answer);
+    /// Buffers the answer to a probe that `requester` requested.
+    pub(super) fn buffer_answer(
+        &mut self,
+        now: TimePoint,
+        requester: NodeName,
+        answer: ProbeAnswer,
+    ) {
+        self.answers.get_or_insert_with(requester, Vec::new).push(answer);
         self.flush_at.get_or_insert(now.after(FLUSH_DELAY));
     }
 
--- a/crates/gateway/src/entry/control_link.rs
+++ b/crates/gateway/src/entry/control_link.rs
@@ -163,7 +163,7 @@
             }
             match reader.receive::<EntryNotice>(RECEIVE_TIMEOUT) {
                 Ok(notice) => {
-                    wait.heard(&notice);
+                    wait.response_received(&notice);
                     if notice.leads {
                         self.rounds = 0;
                     }
--- a/crates/gateway/src/entry/dispatch.rs
+++ b/crates/gateway/src/entry/dispatch.rs
@@ -213,9 +213,9 @@
         };
         let mut table = self.state.table.borrow_mut();
         let choice = table.choose(self.state.now(), &self.book, &query);
-        let wants_share = table.take_share_request();
+        let share_requested = table.take_share_request();
         drop(table);
-        if wants_share {
+        if share_requested {
             self.state.send_report();
         }
         choice
--- a/crates/gateway/src/entry/mod.rs
+++ b/crates/gateway/src/entry/mod.rs
@@ -135,7 +135,7 @@
         Ok(grace) => drain(&state, &traffic, grace).await,
         Err(_) => false,
     };
-    // The receiver is gone if the process did not shut down through `drain`.
+    // The receiver was dropped if the process did not shut down through `drain`.
     let _ = end.send(all_closed);
 }
 
--- a/crates/gateway/src/entry/serve.rs
+++ b/crates/gateway/src/entry/serve.rs
@@ -107,13 +107,13 @@
     state.count_request(&service);
     state.count_demand(&book, &service, &head, &rule);
     state.wait_for_replica(&service, head.model.as_deref(), deadline).await;
-    let patience = deadline.min(rule.timeout);
+    let max_wait = deadline.min(rule.timeout);
     let idle_connections = idle_connections(state, &book, &service);
     Ok(ServedRequest {
         idle_connections,
         state: Rc::clone(state),
         arrived,
-        deadline: arrived.after(patience),
+        deadline: arrived.after(max_wait),
         book,
         rule,
         service,
--- a/crates/gateway/src/entry/state.rs
+++ b/crates/gateway/src/entry/state.rs
@@ -134,9 +134,9 @@
     }
 
     /// As [`Self::book`]. Shortly after the start it waits until the rules and targets are known,
-    /// for up to `patience`.
-    pub(super) async fn wait_for_book(&self, patience: Duration) -> Option<Rc<RouteBook>> {
-        self.wait_at_startup(patience, || self.has_routing_state()).await;
+    /// for up to `max_wait`.
+    pub(super) async fn wait_for_book(&self, max_wait: Duration) -> Option<Rc<RouteBook>> {
+        self.wait_at_startup(max_wait, || self.has_routing_state()).await;
         self.book()
     }
 
@@ -149,18 +149,18 @@
         &self,
         service: &ServiceName,
         model: Option<&str>,
-        patience: Duration,
+        max_wait: Duration,
     ) {
-        self.wait_at_startup(patience, || self.table.borrow().serves(service, model)).await;
+        self.wait_at_startup(max_wait, || self.table.borrow().serves(service, model)).await;
     }
 
     /// Waits for notices until `met` holds, at most as long as the startup wait allows. Callers
     /// check the condition again.
-    async fn wait_at_startup(&self, patience: Duration, met: impl Fn() -> bool) {
+    async fn wait_at_startup(&self, max_wait: Duration, met: impl Fn() -> bool) {
         if met() {
             return;
         }
-        let limit = self.startup_wait.patience(self.now(), patience);
+        let limit = self.startup_wait.max_wait(self.now(), max_wait);
         let waited = async {
             while !met() {
                 self.notice_notify.notified().await;
--- a/crates/http/tests/responses.rs
+++ b/crates/http/tests/responses.rs
@@ -36,7 +36,7 @@
     endpoint_with_signal(action, Rc::default()).await
 }
 
-/// As above; `head_read` is notified once the response head was read.
+/// As [`endpoint`]; `head_read` is notified once the response head was read.
 async fn endpoint_with_signal(action: EndpointAction, head_read: Rc<Notify>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("the listener has an address");
--- a/crates/node/src/control/fleet.rs
+++ b/crates/node/src/control/fleet.rs
@@ -27,7 +27,7 @@
     since: TimePoint,
     /// Fencing number of the membership last sent on this session.
     notified_fencing: Option<FencingNumber>,
-    /// Whether the group was last told to leave, with its fencing number.
+    /// Whether the group was last notified to leave, with its fencing number.
     notified_leave: Option<(FencingNumber, bool)>,
     notified_may_stop: bool,
 }
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Whether the first host of `group` has reported that no work is left, or the group is gone.
+    /// Whether the first host of `group` has reported that no work is left, or the group has ended.
     pub(super) fn is_drained(&self, registry: &GroupRegistry, group: GroupId) -> bool {
         let Some(group) = registry.group(group) else { return true };
         let first = group.assignment.members.first();
--- a/crates/placement/src/replay/generate/shape.rs
+++ b/crates/placement/src/replay/generate/shape.rs
@@ -124,7 +124,7 @@
         let then = RuleAction { place: Some(place), ..RuleAction::default() };
         let rule = RuleName::new("place");
         let rules = vec![RuleEntry { rule, when: RuleCondition::default(), then }];
-        let services = self.services.iter().map(declaration).collect();
+        let services = self.services.iter().map(service_declaration).collect();
         RuleDocument { services, teams: Vec::new(), rules }
     }
 
@@ -166,7 +166,7 @@
     }
 }
 
-fn declaration(service: &ServiceShape) -> ServiceDeclaration {
+fn service_declaration(service: &ServiceShape) -> ServiceDeclaration {
     ServiceDeclaration {
         name: ServiceName::new(service.name),
         kind: service.kind,
--- a/crates/routing/tests/attempts.rs
+++ b/crates/routing/tests/attempts.rs
@@ -42,8 +42,8 @@
 
 #[test]
 fn late_dispatch_is_stopped_by_its_tombstone() {
-    // The dispatch is delayed on a dead connection while the caller is told that it was not run. If
-    // it ran on arrival, the caller's retry would send a confirmation twice.
+    // The dispatch is delayed on a dead connection while the caller is notified that it was not
+    // run. If it ran on arrival, the caller's retry would send a confirmation twice.
     let mut book = AttemptBook::new(BookLimits::default());
 
     let reply = book.tombstone(seconds(1), ATTEMPT, FRESH);
@@ -100,7 +100,7 @@
 #[test]
 fn tombstone_of_restarted_agent_proves_nothing() {
     // The agent crashed after it handed the call to the service, and its successor does not know
-    // the attempt. A caller told `not_run` would repeat a booking.
+    // the attempt. A caller notified of `not_run` would repeat a booking.
     let mut tracker = tracker(false);
     tracker.on_disconnect(seconds(1), false);
     tracker.on_reply(seconds(2), AgentReply::NotHeld { attempt: ATTEMPT });
