--- a/crates/cli/src/cmd/measure/choice/model.rs
+++ b/crates/cli/src/cmd/measure/choice/model.rs
@@ -148,7 +148,7 @@
     End(usize),
     Report,
     CacheEvent { prefix: u32, replica: usize, stored: bool },
-    SetStragglers(bool),
+    SetSlowReplicas(bool),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -230,8 +230,8 @@
         let end = self.plan.seconds * 1_000_000;
         self.schedule(0, ModelEvent::Arrive);
         self.schedule(0, ModelEvent::Report);
-        self.schedule(end / 4, ModelEvent::SetStragglers(true));
-        self.schedule(end / 2, ModelEvent::SetStragglers(false));
+        self.schedule(end / 4, ModelEvent::SetSlowReplicas(true));
+        self.schedule(end / 2, ModelEvent::SetSlowReplicas(false));
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now >= end {
                 return;
@@ -258,7 +258,7 @@
                     entry.apply_cache_event(prefix, replica, stored);
                 }
             }
-            ModelEvent::SetStragglers(slow) => {
+            ModelEvent::SetSlowReplicas(slow) => {
                 for (number, replica) in self.replicas.iter_mut().enumerate() {
                     let slow = slow && self.plan.is_slow_replica(number);
                     replica.step_factor = if slow { SLOW_REPLICA_STEP_FACTOR } else { 1.0 };
