--- a/crates/model/src/rules/explain.rs
+++ b/crates/model/src/rules/explain.rs
@@ -37,12 +37,12 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Decides => formatter.write_str("decides"),
-            Self::OtherKind => formatter.write_str("does not cover this kind of decision"),
+            Self::OtherKind => formatter.write_str("says nothing about this kind of decision"),
             Self::Differs { field, wanted, fact: Some(fact) } => {
-                write!(formatter, "requires {field} {wanted}, but it is {fact}")
+                write!(formatter, "wants {field} {wanted}, and it is {fact}")
             }
             Self::Differs { field, wanted, fact: None } => {
-                write!(formatter, "requires {field} {wanted}, which is not known for this decision")
+                write!(formatter, "wants {field} {wanted}, which is not known here")
             }
         }
     }
