--- a/crates/control/src/state/stops.rs
+++ b/crates/control/src/state/stops.rs
@@ -102,9 +102,7 @@
         }
         if self.stops.len() >= MAX_STOPS {
             return CommandOutcome::StopRefused {
-                reason: format!(
-                    "the limit of {MAX_STOPS} planned stops is reached; cancel those that are done"
-                ),
+                reason: format!("{MAX_STOPS} stops are planned; cancel those that are over"),
             };
         }
         self.revision += 1;
--- a/crates/model/src/rules/check.rs
+++ b/crates/model/src/rules/check.rs
@@ -137,7 +137,7 @@
     for (position, part) in document.rules.iter().enumerate() {
         let name = &part.value.rule;
         if document.rules[..position].iter().any(|other| other.value.rule == *name) {
-            let message = format!("rule {name} is declared twice; give each rule its own name");
+            let message = format!("rule {name} stands twice; give each rule its own name");
             report(findings, line_of(part), FindingLevel::Error, message);
         }
     }
@@ -223,8 +223,8 @@
     for kind in DecisionKind::ALL.into_iter().filter(|kind| entry.then.decides(*kind)) {
         if let Some(field) = unavailable_field(&entry.when, kind) {
             let message = format!(
-                "rule {}: {} decisions have no {field}, so it never decides them; move them to \
-                 a rule without {field}",
+                "rule {}: {} decisions know no {field}, so it never decides them; move them to a \
+                 rule without {field}",
                 entry.rule,
                 kind.as_str()
             );
@@ -233,8 +233,8 @@
         }
         if let Some(covering) = covering_rule(earlier, &entry.when, kind) {
             let message = format!(
-                "rule {} never makes {} decisions: the earlier rule {covering} matches whenever \
-                 it does; move it up or remove it",
+                "rule {} never makes {} decisions: rule {covering} stands before it and matches \
+                 whenever it does; move it up or remove it",
                 entry.rule,
                 kind.as_str()
             );
@@ -301,7 +301,7 @@
         });
         if !has_fallback {
             let message = format!(
-                "no rule without a condition decides {}; built-in defaults apply where no rule \
+                "no rule without a condition decides {}; built-in defaults count where no rule \
                  matches",
                 kind.as_str()
             );
--- a/crates/model/tests/rule_check.rs
+++ b/crates/model/tests/rule_check.rs
@@ -37,7 +37,7 @@
 
     assert_eq!(found.len(), 1, "{found:?}");
     assert_eq!(found[0].0, 6);
-    assert!(found[0].1.contains("the earlier rule everyone matches whenever it does"), "{found:?}");
+    assert!(found[0].1.contains("rule everyone stands before it"), "{found:?}");
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let found = errors(text);
 
     assert_eq!(found.len(), 1, "{found:?}");
-    assert!(found[0].1.contains("have no team"), "{found:?}");
+    assert!(found[0].1.contains("know no team"), "{found:?}");
 }
 
 #[test]
--- a/crates/node/src/control/operator.rs
+++ b/crates/node/src/control/operator.rs
@@ -88,7 +88,7 @@
 impl LiftQuarantineBody {
     fn into_command(self) -> Result<ControlCommand, String> {
         let fingerprint = RequestFingerprint::parse(&self.print);
-        let remedy = "send a fingerprint as shown in the list of the quarantine";
+        let remedy = "send a print as the list of the quarantine shows it";
         Ok(ControlCommand::LiftQuarantine { print: fingerprint.ok_or(remedy)? })
     }
 }
@@ -236,7 +236,7 @@
         CommandOutcome::RulesConflict { revision } => error_reply_with(
             409,
             "revision_conflict",
-            "another change was accepted first; check the rules in force and try again",
+            "another change came first; look at the rules in force and try again",
             &json!({ "revision": revision.0 }),
         ),
         CommandOutcome::RulesInvalid { detail } => error_reply(422, "rules_invalid", detail),
@@ -260,7 +260,7 @@
             JsonReply::new(200, json!({ "outcome": "cancelled", "stop": stop.0 }))
         }
         CommandOutcome::StopUnknown { .. } => {
-            error_reply(404, "stop_unknown", "no such stop was ever planned; list the stops")
+            error_reply(404, "stop_unknown", "there never was such a stop; list the stops")
         }
         CommandOutcome::ClaimsForgotten { count } => {
             JsonReply::new(200, json!({ "outcome": "forgotten", "claims": count }))
@@ -268,7 +268,7 @@
         CommandOutcome::ChangeTooOld { floor } => error_reply_with(
             409,
             "change_too_old",
-            "the change is too old for its outcome to be stored; check the rules in force and send \
+            "the outcome of so old a change is no longer kept; look at the rules in force and send \
              a new change that names the revision it expects",
             &json!({ "floor": floor.0 }),
         ),
@@ -279,8 +279,8 @@
 /// The reply for a change that is committed for good but not yet in force on every entry.
 fn committed_reply(revision: RevisionNumber, waiting_for: &[NodeName]) -> JsonReply {
     let message = "the change is committed, and the entries in waiting_for may still decide under \
-                   older rules; send the same change id again to wait longer, or remove entries \
-                   that have stopped for good";
+                   older rules; send the same change id again to wait on, or strike off entries \
+                   that you know to be gone";
     let body = json!({
         "outcome": "committed",
         "revision": revision.0,
@@ -302,12 +302,12 @@
 /// The reply of a host that does not lead; its code makes the command line client try the next
 /// control host.
 fn not_leader_reply(leader: Option<&NodeName>) -> JsonReply {
-    let message = "this control host does not lead; call the leader or another control host";
+    let message = "this control host does not lead; ask the leader, or another control host";
     error_reply_with(503, "not_leader", message, &json!({ "leader": leader }))
 }
 
 fn no_answer_reply() -> JsonReply {
-    error_reply(503, "no_answer", "the outcome is unknown; send the same change id again")
+    error_reply(503, "no_answer", "the outcome is not known; send the same change id again")
 }
 
 fn error_reply(status: u16, code: &str, message: &str) -> JsonReply {
--- a/crates/node/src/control/stops.rs
+++ b/crates/node/src/control/stops.rs
@@ -253,7 +253,7 @@
     if view.hosts.values().any(|host| plan.target.covers(host_place(host))) {
         return Ok(());
     }
-    let reason = "the target covers no known host; check its name in the list of groups".to_owned();
+    let reason = "no known host belongs to it; look at the groups for the names".to_owned();
     Err(CommandOutcome::StopRefused { reason })
 }
 
@@ -289,7 +289,7 @@
         let replaceable = action.replace_first && has_spares_outside(group, view, plan, book);
         if others < required && !replaceable {
             let reason = format!(
-                "{service} would be left with {others} replicas and its rules require {required}; \
+                "{service} would be left with {others} replicas and its rules demand {required}; \
                  add hosts, or lower min_replicas"
             );
             return Err(CommandOutcome::StopRefused { reason });
@@ -364,9 +364,7 @@
             .filter(|group| group.members.iter().any(covered))
             .filter_map(|group| {
                 if self.leaving.contains(&group.group) {
-                    return group
-                        .whole
-                        .then(|| format!("group {} is finishing its work", group.group));
+                    return group.whole.then(|| format!("group {} finishes its work", group.group));
                 }
                 wait_reason(group, view, stops, book, &self.leaving, true)
             })
--- a/crates/node/src/entry/api.rs
+++ b/crates/node/src/entry/api.rs
@@ -139,7 +139,7 @@
 ) -> Result<CallPlan, CallRefusal> {
     let arrived = shared.clock.now();
     if shared.is_stopped() {
-        let message = "this entry is stopping; reconnect through the load balancer";
+        let message = "this entry is stopping; connect again through the balancer";
         return Err(CallRefusal::not_run(RefusalCode::Stopping, message));
     }
     if !shared.rules_usable(view) {
@@ -244,7 +244,7 @@
     body: &'a [u8],
 ) -> Result<CompletionFields<'a>, CallRefusal> {
     if path != "/v1/completions" && path != "/v1/chat/completions" {
-        let message = "this path is not served; see the guide for valid paths";
+        let message = "this path is not served; see the guide for the calls";
         return Err(CallRefusal::not_run(RefusalCode::UnknownPath, message));
     }
     if *request.method() != Method::Post {
--- a/crates/node/src/entry/attempt.rs
+++ b/crates/node/src/entry/attempt.rs
@@ -170,7 +170,7 @@
                 TrackerAction::Late => {
                     // The caller is answered now; the agent's confirmation is not awaited.
                     let message =
-                        "no complete answer before the deadline; check whether the request ran";
+                        "no whole answer came before the deadline; look up whether it ran";
                     let refusal = CallRefusal::unknown(RefusalCode::DeadlinePassed, message);
                     self.cancel();
                     output.mark_may_have_run();
@@ -281,6 +281,6 @@
 }
 
 fn replica_failure(outcome: CallOutcome, detail: &str) -> CallRefusal {
-    let message = format!("{detail}; check whether the request ran before sending it again");
+    let message = format!("{detail}; look up whether it ran before you send it again");
     CallRefusal { code: RefusalCode::ReplicaFailed, message, outcome }
 }
--- a/crates/node/src/entry/call.rs
+++ b/crates/node/src/entry/call.rs
@@ -340,7 +340,7 @@
 ) -> (AttemptEffect, CallFailure) {
     match reason {
         RefusalReason::DeadlinePassed => {
-            let message = "the replica cannot meet the deadline; use a longer deadline";
+            let message = "the replica cannot meet the deadline; allow more time";
             let refusal = CallRefusal::not_run(RefusalCode::DeadlinePassed, message);
             (AttemptEffect::NotRun, CallFailure::Other(refusal))
         }
@@ -353,7 +353,7 @@
 }
 
 fn no_replica(wait: Duration) -> CallFailure {
-    let message = "no whole replica can take the request now; retry after the time in Retry-After";
+    let message = "no whole replica takes the request now; try again after the time in Retry-After";
     CallFailure::Retryable(CallRefusal::not_run(RefusalCode::NoReplica, message), wait)
 }
 
@@ -361,17 +361,17 @@
     let (code, message) = match refusal.cause {
         RefusalCause::TeamQueueFull => (
             RefusalCode::TeamQueueFull,
-            "your team has as many requests waiting as its rule allows; send fewer requests, or \
-             retry after the time in Retry-After",
+            "your team has as many requests waiting as its rule allows; slow down, or come back \
+             after the time in Retry-After",
         ),
         RefusalCause::EntryFull => (
             RefusalCode::Overloaded,
-            "the entry has reached its limit of open requests; retry after the time in Retry-After",
+            "the entry holds as many requests as it can; come back after the time in Retry-After",
         ),
         RefusalCause::TooLate => (
             RefusalCode::TooLate,
-            "the request cannot finish before its deadline; retry after the time in \
-             Retry-After, or use a longer deadline",
+            "the request would not be done before its deadline; come back after the time in \
+             Retry-After, or allow more time",
         ),
         RefusalCause::NoReplica => return no_replica(refusal.retry_after),
     };
--- a/crates/node/src/entry/idempotency.rs
+++ b/crates/node/src/entry/idempotency.rs
@@ -44,9 +44,9 @@
 ) -> Result<Option<String>, CallRefusal> {
     let message = match given {
         None if policy == KeyPolicy::Optional => return Ok(None),
-        None => "a rule requires an Idempotency-Key for this call; send one".to_owned(),
+        None => "a rule demands an Idempotency-Key for this call; send one".to_owned(),
         Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
-            format!("an Idempotency-Key must have 1 to {MAX_KEY_BYTES} bytes; choose another")
+            format!("an Idempotency-Key has 1 to {MAX_KEY_BYTES} bytes; choose another")
         }
         Some(key) => return Ok(Some(key.to_owned())),
     };
@@ -61,7 +61,7 @@
     if refusal.outcome == CallOutcome::NotRun && refusal.code.depends_on_state() {
         refusal.outcome = CallOutcome::Unknown;
         refusal.message.push_str(
-            "; nothing was run now, but an earlier call with this key may have been: send the same \
+            "; nothing was run now, but an earlier call under this key may have been: send the same \
              key again",
         );
     }
@@ -118,12 +118,12 @@
     match reply {
         LedgerReply::Pending { .. } => CallRefusal::unknown(
             RefusalCode::InProgress,
-            "a call with this key has started and its outcome is not known; it is never run \
-             again; retry with the same key for its answer, or check whether it ran",
+            "a call under this key was begun and its outcome is not known; it is never run \
+             again; ask again with the same key for its answer, or look up whether it ran",
         ),
         LedgerReply::AnswerNotKept => CallRefusal::ran(
             RefusalCode::AnswerNotKept,
-            "the call with this key ran and its answer is no longer stored; look up its result",
+            "the call under this key ran and its answer is no longer kept; look up its result",
         ),
         LedgerReply::Mismatch => CallRefusal::not_run(
             RefusalCode::KeyReused,
@@ -131,13 +131,13 @@
         ),
         LedgerReply::Full => CallRefusal::not_run(
             RefusalCode::LedgerFull,
-            "the ledger of keys is full; ask your operator to remove old keys",
+            "the ledger of keys is full; ask your operator to forget old keys",
         ),
         // Nothing was run now, but only the ledger knows whether an earlier call with the key was.
         _ => CallRefusal::unknown(
             RefusalCode::LedgerUnavailable,
-            "nothing was run now, and the ledger of keys did not report whether an earlier call \
-             with this key was; send the same key again in a second",
+            "nothing was run now, and the ledger of keys does not tell whether an earlier call under \
+             this key was; send the same key again in a second",
         ),
     }
 }
--- a/crates/node/src/entry/refusal.rs
+++ b/crates/node/src/entry/refusal.rs
@@ -145,14 +145,14 @@
 
     /// A refusal because the entry cannot confirm that its rules are in force.
     pub fn rules_unconfirmed() -> Self {
-        let message = "this entry cannot confirm its rules; retry in a second";
+        let message = "this entry cannot confirm its rules; try again in a second";
         Self::not_run(RefusalCode::RulesUnconfirmed, message)
     }
 
     /// A refusal because earlier runs of the request crashed their replicas.
     pub fn quarantined() -> Self {
-        let message = "this request crashed the replicas that ran it; change it, or ask the \
-                       operators to lift its quarantine";
+        let message = "it crashed the replicas that ran it; change it, or ask the operators to lift \
+                       its quarantine";
         Self::not_run(RefusalCode::Quarantined, message)
     }
 
